--- a/balancer/arrive.go
+++ b/balancer/arrive.go
@@ -11,10 +11,11 @@
 	"monsoonswitch/picker"
 )
 
-// retryAfter is how long callers wait before they send refused work again.
+// retryAfter is the wait that callers are asked to keep before they send refused work
+// again.
 const retryAfter = time.Second
 
-// Arrive takes a request in.
+// Arrive admits or refuses a new request.
 func (b *Balancer[E, D, P, L]) Arrive(e descriptor.Arrived) {
 	b.advance(e.At)
 	r := request{
@@ -53,7 +54,7 @@
 	return -1
 }
 
-// Barrier returns why a request can't be taken in and when to send it again, or
+// Barrier returns why a request cannot be admitted and when to send it again, or
 // Served if it can.
 func (b *Balancer[E, D, P, L]) Barrier(e descriptor.Arrived) (descriptor.Reason, time.Duration) {
 	switch {
@@ -76,11 +77,11 @@
 // admit starts a request or queues it.
 func (b *Balancer[E, D, P, L]) admit(r request) {
 	b.trace(r, descriptor.NoteAdmitted, 0, "", "", 0)
-	b.noteKind(r)
+	b.updateRepeatableShare(r)
 	if (b.queued == 0 || b.options.Guests && b.ahead(r.class) == 0) && b.mayStart(r.class) && b.start(r) {
 		return
 	}
-	patience := b.limiter.Patience(b.work(r.class))
+	patience := b.limiter.Patience(b.queueState(r.class))
 	expires := r.arrived.Add(patience)
 	if !r.deadline.IsZero() && r.deadline.Before(expires) {
 		expires = r.deadline
@@ -89,7 +90,7 @@
 		b.refuse(r, descriptor.Expired, descriptor.NotRun, 0)
 		return
 	}
-	if !b.limiter.Admits(b.work(r.class)) {
+	if !b.limiter.Admits(b.queueState(r.class)) {
 		b.refuse(r, descriptor.Overloaded, descriptor.NotRun, retryAfter)
 		return
 	}
@@ -98,17 +99,17 @@
 	b.queued++
 	b.trace(r, descriptor.NoteQueued, 0, "", "", 0)
 	b.queues[r.class].Push(r.caller, r.id)
-	b.pump()
+	b.startQueued()
 }
 
-// work describes the queue of a class to the limiter.
-func (b *Balancer[E, D, P, L]) work(c int) limiter.Work {
+// queueState describes the queue of a class for the limiter.
+func (b *Balancer[E, D, P, L]) queueState(c int) limiter.Work {
 	declared := b.classes[c].declared
 	return limiter.Work{
 		Target:  declared.Target,
 		Typical: b.references[c].Quantile(0.5, 0),
 		Oldest:  b.oldest(c),
-		// Classes less urgent than c start after it.
+		// Less urgent classes start after c and are not counted.
 		Ahead:    b.ahead(c),
 		InFlight: b.inFlight(),
 	}
@@ -133,8 +134,9 @@
 	return n
 }
 
-// oldest returns how long the oldest queued request of a class has waited. The
-// queue takes callers in turn, so the front of the first caller stands for it.
+// oldest returns how long the oldest queued request of a class has waited. As the
+// queue serves callers in turn, the first request of the next caller is taken as the
+// oldest.
 func (b *Balancer[E, D, P, L]) oldest(c int) time.Duration {
 	id, ok := b.queues[c].Front()
 	if !ok {
@@ -147,7 +149,7 @@
 	return b.now.Sub(r.arrived)
 }
 
-// mayStart tells whether the limit on long work allows a class to start work.
+// mayStart reports whether the limit on long work allows a class to start work.
 func (b *Balancer[E, D, P, L]) mayStart(c int) bool {
 	if !b.classes[c].declared.Long || !b.hasShort() {
 		return true
@@ -195,32 +197,32 @@
 	b.trace(r, descriptor.NotePlaced, r.last, id, "", 0)
 	b.requests.Put(r.id, r)
 	b.classes[r.class] = b.classes[r.class].WithInFlight(1)
-	s.startedAt = b.now
-	b.place(position, s.WithUse(b.now).WithStart(long))
+	s.lastSentAt = b.now
+	b.putBackend(position, s.WithUse(b.now).WithStart(long))
 	b.emit(descriptor.Dispatch{Request: r.id, Attempt: r.last, Backend: s.listed})
 }
 
 // pick returns the position of a backend server for r, or -1.
 func (b *Balancer[E, D, P, L]) pick(r request) int {
 	if b.options.Guests {
-		return b.pickOpen(r)
+		return b.pickPooled(r)
 	}
 	if p := b.pickFrom(&b.preferred, r); p >= 0 {
 		return p
 	}
-	if b.wary.Len() == 0 || !b.mayRisk(r) {
+	if b.lastResort.Len() == 0 || !b.mayUseLastResort(r) {
 		return -1
 	}
-	return b.pickFrom(&b.wary, r)
+	return b.pickFrom(&b.lastResort, r)
 }
 
-// mayRisk tells whether r may go to a suspected backend server: work that can
-// be sent again may, and all work may if every backend server is suspected.
-func (b *Balancer[E, D, P, L]) mayRisk(r request) bool {
+// mayUseLastResort reports whether r may go to a suspected backend server: work that
+// can be retried may, and all work may if every backend server is suspected.
+func (b *Balancer[E, D, P, L]) mayUseLastResort(r request) bool {
 	if b.classes[r.class].declared.Idempotent && r.replayable {
 		return true
 	}
-	return b.trusted == 0
+	return b.unsuspected == 0
 }
 
 // pickFrom returns the position of a member of set that may take r, or -1.
@@ -254,41 +256,42 @@
 		Position: position,
 		InFlight: s.inFlight,
 		Share:    max(1, s.share),
-		Trust:    s.belief.Trust(b.now),
+		Trust:    s.estimate.Trust(b.now),
 	}
 }
 
-// freeSets returns the sets of free backend servers, preferred ones first.
+// freeSets returns the sets of backend servers with a free slot, preferred ones
+// first.
 func (b *Balancer[E, D, P, L]) freeSets() [2]*container.Positions {
-	return [2]*container.Positions{&b.preferred, &b.wary}
+	return [2]*container.Positions{&b.preferred, &b.lastResort}
 }
 
-// place stores the record at position and keeps the sets of free backend
-// servers in step.
-func (b *Balancer[E, D, P, L]) place(position int, s backend[E]) {
+// putBackend stores the record at position and updates the sets of backend servers with a
+// free slot.
+func (b *Balancer[E, D, P, L]) putBackend(position int, s backend[E]) {
 	b.backends.SetAt(position, s)
 	free := s.inFlight < b.limit(s)
 	risky := s.avoided || s.mode == modeTrial
 	b.preferred.Set(position, free && !risky)
-	b.wary.Set(position, free && risky)
+	b.lastResort.Set(position, free && risky)
 }
 
 // limit returns how many attempts may be in flight at a backend server.
 func (b *Balancer[E, D, P, L]) limit(s backend[E]) int {
 	if b.options.Guests {
-		return s.openLimit(b.now)
+		return s.pooledLimit(b.now)
 	}
 	return s.limit(b.now)
 }
 
-// pump starts queued requests while there are free slots.
-func (b *Balancer[E, D, P, L]) pump() {
-	b.pumpRetries()
+// startQueued starts queued requests while there are free slots.
+func (b *Balancer[E, D, P, L]) startQueued() {
+	b.startRetries()
 	if b.options.Guests {
-		b.pumpOpen()
+		b.startQueuedPooled()
 		return
 	}
-	for b.queued > 0 && b.preferred.Len()+b.wary.Len() > 0 {
+	for b.queued > 0 && b.preferred.Len()+b.lastResort.Len() > 0 {
 		c := b.nextClass()
 		if c < 0 || !b.startNext(c) {
 			return
@@ -296,10 +299,10 @@
 	}
 }
 
-func (b *Balancer[E, D, P, L]) pumpRetries() {
-	waiting := b.retries
+func (b *Balancer[E, D, P, L]) startRetries() {
+	queued := b.retries
 	b.retries = b.retries[:0]
-	for _, id := range waiting {
+	for _, id := range queued {
 		r, ok := b.requests.Get(id)
 		if ok && r.queued && !b.start(r) {
 			b.retries = append(b.retries, id)
@@ -307,17 +310,17 @@
 	}
 }
 
-// pumpOpen starts queued requests of all classes, the most urgent class first. A
-// request that waits for a sound backend server holds up none of other classes.
-func (b *Balancer[E, D, P, L]) pumpOpen() {
+// startQueuedPooled starts queued requests of all classes, the most urgent class first. A
+// request that waits for a healthy backend server does not block other classes.
+func (b *Balancer[E, D, P, L]) startQueuedPooled() {
 	for _, c := range b.byRank() {
-		for b.queues[c].Len() > 0 && b.preferred.Len()+b.wary.Len() > 0 && b.startNext(c) {
+		for b.queues[c].Len() > 0 && b.preferred.Len()+b.lastResort.Len() > 0 && b.startNext(c) {
 		}
 	}
 }
 
-// byRank lists the classes with queued requests by rank, and of one rank the class
-// whose oldest request is closest to its target first.
+// byRank lists the classes with queued requests by rank. Among classes of one rank,
+// the one whose oldest request is closest to its target comes first.
 func (b *Balancer[E, D, P, L]) byRank() []int {
 	var list []int
 	for c := range b.classes {
@@ -335,10 +338,10 @@
 	return list
 }
 
-// startNext starts the next queued request of class c and tells whether one
-// left the queue.
+// startNext starts the next queued request of class c and reports whether one left
+// the queue.
 func (b *Balancer[E, D, P, L]) startNext(c int) bool {
-	newest := b.limiter.Newest(b.work(c))
+	newest := b.limiter.Newest(b.queueState(c))
 	id, ok := b.queues[c].Pop(newest)
 	if !ok {
 		return false
@@ -358,36 +361,36 @@
 	return false
 }
 
-// nextClass returns the class whose queue is served next, or -1: long work below
-// its share first, then the class whose oldest request is closest to its target.
+// nextClass returns the class whose queue is served next, or -1. Long work below its
+// share comes first, then the class whose oldest request is closest to its target.
 func (b *Balancer[E, D, P, L]) nextClass() int {
 	best := -1
-	var due time.Duration
+	var bestSlack time.Duration
 	for c := range b.classes {
-		if b.queues[c].Len() == 0 || !b.hasRoom(c) || !b.mayStart(c) {
+		if b.queues[c].Len() == 0 || !b.hasUsableSlot(c) || !b.mayStart(c) {
 			continue
 		}
 		declared := b.classes[c].declared
 		if declared.Long && b.longInFlight() < b.limiter.LongShare(b.slots) {
 			return c
 		}
-		left := declared.Target - b.oldest(c)
-		if best < 0 || left < due {
-			best, due = c, left
+		slack := declared.Target - b.oldest(c)
+		if best < 0 || slack < bestSlack {
+			best, bestSlack = c, slack
 		}
 	}
 	return best
 }
 
-// hasRoom tells whether a class may use one of the free slots.
-func (b *Balancer[E, D, P, L]) hasRoom(c int) bool {
+// hasUsableSlot reports whether a class may use one of the free slots.
+func (b *Balancer[E, D, P, L]) hasUsableSlot(c int) bool {
 	if b.preferred.Len() > 0 {
 		return true
 	}
-	return b.wary.Len() > 0 && (b.classes[c].declared.Idempotent || b.trusted == 0)
+	return b.lastResort.Len() > 0 && (b.classes[c].declared.Idempotent || b.unsuspected == 0)
 }
 
-// expire refuses a request that can't meet its target any more.
+// expire refuses a queued request that can no longer meet its target.
 func (b *Balancer[E, D, P, L]) expire(r request) {
 	reason := descriptor.Overloaded
 	if !r.deadline.IsZero() && !b.now.Before(r.deadline) {
--- a/balancer/backend.go
+++ b/balancer/backend.go
@@ -7,7 +7,7 @@
 	"monsoonswitch/detector"
 )
 
-// mode tells which work a backend server may get.
+// mode is the state of a backend server. It decides which work it may get.
 type mode int
 
 const (
@@ -29,108 +29,119 @@
 	return names[m]
 }
 
-// Times of the life of a backend server.
+// Durations and limits in the life of a backend server.
 const (
-	// rampTime is how long a backend server takes to its full share after a
-	// start, a breakdown or an ejection.
+	// rampTime is the time in which the usable share of a backend server grows to its
+	// full size after a start, a breakdown or an ejection.
 	rampTime = 5 * time.Second
-	// coldTime is how long the service times of a started backend server are
-	// no evidence.
+	// coldTime is the time after a start for which service times are not used as
+	// evidence.
 	coldTime = 10 * time.Second
-	// drainTime is how long one announced drain holds.
+	// drainTime is how long one announced drain stays in effect.
 	drainTime = 30 * time.Second
-	// probeFirst and probeLast bound the waits between probes of a backend
-	// server that is down.
-	probeFirst = 100 * time.Millisecond
-	probeLast  = 5 * time.Second
-	// trialGoal is the number of good answers that end a trial.
-	trialGoal = 5
+	// minProbeWait and maxProbeWait bound the wait between probes of a backend server
+	// that is down.
+	minProbeWait = 100 * time.Millisecond
+	maxProbeWait = 5 * time.Second
+	// trialAnswersNeeded is the number of answers that end a trial.
+	trialAnswersNeeded = 5
 )
 
-// backend is the record of one backend server at this instance.
+// backend holds what this instance knows of one backend server.
 type backend[E any] struct {
 	listed descriptor.Backend
 	mode   mode
-	// share is this instance's part of the slots.
+	// share is the number of slots assigned to this instance.
 	share int
-	// borrowed slots may be used until borrowedUntil.
-	borrowed      int
-	borrowedUntil time.Time
-	// lent slots may not be used until lentUntil.
-	lent      int
-	lentUntil time.Time
-	// inFlight counts attempts that hold a slot; long is those of long work.
-	inFlight int
-	long     int
-	// others is the work of other instances there by its last report, at othersAt.
-	others   int
-	othersAt time.Time
-	// reportedAt is when it last reported its load to this instance.
+	// leasedIn is the number of slots leased from other instances, usable until
+	// leasedInUntil.
+	leasedIn      int
+	leasedInUntil time.Time
+	// leasedOut is the number of slots leased out. They may not be used here until
+	// leasedOutUntil.
+	leasedOut      int
+	leasedOutUntil time.Time
+	// inFlight counts the attempts that hold a slot. longInFlight counts those of
+	// long work.
+	inFlight     int
+	longInFlight int
+	// otherWork is the number of requests of other instances there, as last reported
+	// at otherWorkAt.
+	otherWork   int
+	otherWorkAt time.Time
+	// reportedAt is when the backend server last reported its load to this instance.
 	reportedAt time.Time
-	// usual is the usual work of other instances at backend servers in use.
-	usual float64
-	// cap limits inFlight after a shed; it grows with answers and is at least 1.
-	cap float64
-	// evidence is what this instance observed; open is the weight of its
-	// overdue requests at the last tick.
-	evidence E
-	open     float64
-	// belief is what the pooled outcomes of work say of failures.
-	belief detector.Belief
-	// failedAt is when an instance last heard that work failed there.
+	// typicalOtherWork is the mean number of requests that other instances have at a
+	// backend server in use.
+	typicalOtherWork float64
+	// shedLimit bounds inFlight after the backend server shed work. It grows with
+	// each answer and is at least 1.
+	shedLimit float64
+	// evidence holds the observations of this instance. overdueScore is the score
+	// added by its overdue open requests at the last tick.
+	evidence     E
+	overdueScore float64
+	// estimate is the probability that the backend server is gray, from the pooled
+	// outcomes of work.
+	estimate detector.Belief
+	// failedAt is when this instance last learned of work that failed there, at any
+	// instance.
 	failedAt time.Time
-	// usedAt is when an instance last sent work there, as far as it is known.
+	// usedAt is the last known time at which any instance sent work there.
 	usedAt time.Time
-	// startedAt is when this instance last sent work there.
-	startedAt time.Time
-	// fleet is the score over all serving instances at the last tick.
-	fleet float64
-	// recent counts the observations of the present window, and before those
-	// of the window before it.
-	recent, before int
-	// avoided tells that other backend servers are preferred until avoidUntil.
+	// lastSentAt is when this instance last sent work there.
+	lastSentAt time.Time
+	// fleetScore is the evidence of all owners together at the last tick.
+	fleetScore float64
+	// observations counts those of the current window, previousObservations those of
+	// the window before it.
+	observations, previousObservations int
+	// avoided is set while other backend servers are preferred, until avoidUntil.
+	// avoidCount is the number of times in a row that it was set.
 	avoided    bool
 	avoidUntil time.Time
-	avoidance  int
-	// rampFrom is when the share began to grow; zero means it is in full.
+	avoidCount int
+	// rampFrom is when the usable share began to grow. Zero means that the full share
+	// is usable.
 	rampFrom time.Time
-	// coldUntil is until when service times are no evidence.
+	// coldUntil is until when service times are not used as evidence.
 	coldUntil time.Time
-	// lostUntil is until when a backend server that is not listed may come back,
-	// after an outage of the store; zero while it is listed.
-	lostUntil time.Time
-	// drainUntil is until when an announced drain holds.
+	// mayReturnUntil is until when an unlisted backend server may be listed again
+	// after an outage of the store. Zero means that it is listed.
+	mayReturnUntil time.Time
+	// drainUntil is until when an announced drain stays in effect.
 	drainUntil time.Time
-	// probeAt is when a backend server that is down is probed next.
+	// probeAt is the time of the next probe while the backend server is down.
+	// probeWait is the wait before it.
 	probeAt   time.Time
 	probeWait time.Duration
-	// brokenAt is when the last breakdown began that counted, and soundUntil
-	// until when broken connections are known to be no breakdown.
-	brokenAt   time.Time
-	soundUntil time.Time
-	// good counts the answers of the present trial, which began at trialFrom.
-	good      int
-	trialFrom time.Time
+	// breakdownAt is when the last counted breakdown began. Until verifiedUpUntil,
+	// broken connections are known not to come from a breakdown.
+	breakdownAt     time.Time
+	verifiedUpUntil time.Time
+	// trialAnswers counts the answers in the current trial, which began at trialFrom.
+	trialAnswers int
+	trialFrom    time.Time
 }
 
-// unlimited is the cap of a backend server that did not shed.
+// unlimited is the shedLimit of a backend server that did not shed work.
 const unlimited = 1 << 20
 
 func newBackend[E any](listed descriptor.Backend, now time.Time, started bool) backend[E] {
-	return backend[E]{listed: listed, cap: unlimited, belief: detector.NewBelief(now, started)}
+	return backend[E]{listed: listed, shedLimit: unlimited, estimate: detector.NewBelief(now, started)}
 }
 
-// WithOutcome returns b after a request that ended there; base is the share of
-// requests that fail at sound backend servers.
+// WithOutcome returns b after a request ended there. base is the share of requests
+// that fail at healthy backend servers.
 func (b backend[E]) WithOutcome(now time.Time, failed bool, base float64) backend[E] {
-	b.belief = b.belief.WithOutcome(now, failed, base)
+	b.estimate = b.estimate.WithOutcome(now, failed, base)
 	if failed {
 		b.failedAt = now
 	}
 	return b
 }
 
-// WithUse returns b after work was sent there at a time.
+// WithUse returns b after an instance sent work there at the given time.
 func (b backend[E]) WithUse(at time.Time) backend[E] {
 	if at.After(b.usedAt) {
 		b.usedAt = at
@@ -138,7 +149,7 @@
 	return b
 }
 
-// WithListed returns b as the platform lists it now.
+// WithListed returns b with its current entry in the platform's list.
 func (b backend[E]) WithListed(listed descriptor.Backend) backend[E] {
 	b.listed = listed
 	return b
@@ -150,62 +161,63 @@
 	return b
 }
 
-// WithShare returns b with n slots of this instance.
+// WithShare returns b with n slots assigned to this instance.
 func (b backend[E]) WithShare(n int) backend[E] {
 	b.share = n
 	return b
 }
 
-// WithStart returns b with one attempt more in flight.
+// WithStart returns b with one more attempt in flight.
 func (b backend[E]) WithStart(long bool) backend[E] {
 	b.inFlight++
 	if long {
-		b.long++
+		b.longInFlight++
 	}
 	return b
 }
 
-// WithEnd returns b with one attempt less in flight.
+// WithEnd returns b with one attempt fewer in flight.
 func (b backend[E]) WithEnd(long bool) backend[E] {
 	b.inFlight--
 	if long {
-		b.long--
+		b.longInFlight--
 	}
 	return b
 }
 
-// WithEvidence returns b with evidence e after one more observation.
+// WithEvidence returns b with evidence e, which includes one more observation.
 func (b backend[E]) WithEvidence(e E) backend[E] {
 	b.evidence = e
-	b.recent++
+	b.observations++
 	return b
 }
 
-// WithWindow returns b with a new window of recent observations.
-func (b backend[E]) WithWindow() backend[E] {
-	b.before = b.recent
-	b.recent = 0
+// WithNewWindow returns b with a new window of observations.
+func (b backend[E]) WithNewWindow() backend[E] {
+	b.previousObservations = b.observations
+	b.observations = 0
 	return b
 }
 
-// seen counts the recent observations.
-func (b backend[E]) seen() int { return b.recent + b.before }
+// recentObservations counts the observations of the current and the previous window.
+func (b backend[E]) recentObservations() int { return b.observations + b.previousObservations }
 
-// WithAnswer returns b after an answer: the cap grows and a trial advances.
+// WithAnswer returns b after an answer, which raises shedLimit and advances a trial.
 func (b backend[E]) WithAnswer() backend[E] {
-	if b.cap < unlimited {
-		b.cap += 1 / b.cap
+	if b.shedLimit < unlimited {
+		b.shedLimit += 1 / b.shedLimit
 	}
-	if b.cap > float64(b.listed.Slots) {
-		b.cap = unlimited
+	if b.shedLimit > float64(b.listed.Slots) {
+		b.shedLimit = unlimited
 	}
 	if b.mode == modeTrial {
-		b.good++
+		b.trialAnswers++
 	}
 	return b
 }
 
-// WithLoad returns b after it reported its load, the reported attempt included.
+// WithLoad returns b after it reported its load. The load includes the attempt that
+// carried the report.
 func (b backend[E]) WithLoad(l descriptor.Load, at time.Time) backend[E] {
 	if l.Known {
 		b.reportedAt = at
@@ -214,47 +226,49 @@
 	return b
 }
 
-// WithWork returns b after it was said how much work of all instances it had at a
-// time.
+// WithWork returns b after a report of the requests of all instances there at a time.
+// Older reports are ignored.
 func (b backend[E]) WithWork(work int, at time.Time) backend[E] {
-	if at.After(b.othersAt) {
-		b.others = max(0, work-b.inFlight)
-		b.othersAt = at
+	if at.After(b.otherWorkAt) {
+		b.otherWork = max(0, work-b.inFlight)
+		b.otherWorkAt = at
 	}
 	return b
 }
 
-// WithUsual returns b if the others have so much work at a backend server in use.
-func (b backend[E]) WithUsual(others float64) backend[E] {
-	b.usual = others
+// WithTypicalOtherWork returns b with the mean number of requests of other instances
+// at a backend server in use.
+func (b backend[E]) WithTypicalOtherWork(others float64) backend[E] {
+	b.typicalOtherWork = others
 	return b
 }
 
 const (
-	// othersTime is how long a report of the work of other instances counts, less
-	// and less: about as long as such work takes. Then the usual work counts that
-	// others have at a backend server.
-	othersTime = 600 * time.Millisecond
-	// idleTime is the time without work after which nobody has any there.
-	idleTime = 2 * time.Second
+	// otherWorkLifetime is how long a report of other instances' work is used, about
+	// the time that such work takes. Its weight falls with age in favor of
+	// typicalOtherWork.
+	otherWorkLifetime = 600 * time.Millisecond
+	// idleThreshold is the time without new work after which a backend server is
+	// taken to have none from other instances.
+	idleThreshold = 2 * time.Second
 )
 
-// load estimates how many requests b has per slot at now.
+// load estimates the number of requests per slot at now.
 func (b backend[E]) load(now time.Time) float64 {
 	others := 0.0
-	if now.Sub(b.usedAt) < idleTime {
-		others = b.usual
+	if now.Sub(b.usedAt) < idleThreshold {
+		others = b.typicalOtherWork
 	}
-	if age := now.Sub(b.othersAt); age < othersTime {
-		fresh := 1 - float64(age)/float64(othersTime)
-		others = fresh*float64(b.others) + (1-fresh)*others
+	if age := now.Sub(b.otherWorkAt); age < otherWorkLifetime {
+		fresh := 1 - float64(age)/float64(otherWorkLifetime)
+		others = fresh*float64(b.otherWork) + (1-fresh)*others
 	}
 	return (float64(b.inFlight) + others) / float64(b.listed.Slots)
 }
 
-// WithShed returns b after it refused work at the present load.
+// WithShed returns b after it refused work at its current load.
 func (b backend[E]) WithShed() backend[E] {
-	b.cap = max(1, float64(b.inFlight-1))
+	b.shedLimit = max(1, float64(b.inFlight-1))
 	return b
 }
 
@@ -263,7 +277,7 @@
 	if b.mode == modeReady || b.mode == modeTrial {
 		b.mode = modeDown
 	}
-	b.probeWait = min(probeLast, max(probeFirst, 2*b.probeWait))
+	b.probeWait = min(maxProbeWait, max(minProbeWait, 2*b.probeWait))
 	b.probeAt = now.Add(b.probeWait)
 	return b
 }
@@ -277,18 +291,18 @@
 	return b
 }
 
-// WithDrain returns b after it announced that it leaves.
+// WithDrain returns b after it announced that it is leaving.
 func (b backend[E]) WithDrain(now time.Time) backend[E] {
 	b.mode = modeLeaving
 	b.drainUntil = now.Add(drainTime)
 	return b
 }
 
-// WithEjection returns b without work, suspicion or evidence.
+// WithEjection returns b ejected, with its evidence and avoidance cleared.
 func (b backend[E]) WithEjection() backend[E] {
-	var fresh E
+	var noEvidence E
 	b.mode = modeEjected
-	b.evidence = fresh
+	b.evidence = noEvidence
 	b.avoided = false
 	return b
 }
@@ -297,11 +311,11 @@
 func (b backend[E]) WithTrial(now time.Time) backend[E] {
 	b.mode = modeTrial
 	b.trialFrom = now
-	b.good = 0
+	b.trialAnswers = 0
 	return b
 }
 
-// WithReturn returns b after a trial that went well.
+// WithReturn returns b ready again with evidence e, after a drain or a trial.
 func (b backend[E]) WithReturn(now time.Time, e E) backend[E] {
 	b.mode = modeReady
 	b.evidence = e
@@ -319,43 +333,46 @@
 		return min(1, b.share)
 	}
 	n := b.share
-	if b.borrowed > 0 && now.Before(b.borrowedUntil) {
-		n += b.borrowed
+	if b.leasedIn > 0 && now.Before(b.leasedInUntil) {
+		n += b.leasedIn
 	}
-	if b.lent > 0 && now.Before(b.lentUntil) {
-		n -= b.lent
+	if b.leasedOut > 0 && now.Before(b.leasedOutUntil) {
+		n -= b.leasedOut
 	}
 	if !b.rampFrom.IsZero() {
 		n = ramped(n, now.Sub(b.rampFrom))
 	}
-	return max(0, min(n, int(b.cap)))
+	return max(0, min(n, int(b.shedLimit)))
 }
 
-// overCommit is the part of its slots for which more requests may wait at a backend
-// server, so that no slot is idle until the instances know that it is free.
-const overCommit = 0.67
+// overcommitRatio is the number of requests per slot that may wait at a backend
+// server beyond those that run. They keep slots busy until the instances learn that a
+// slot is free.
+const overcommitRatio = 0.67
 
-// openLimit returns how many attempts may be in flight at now where the slots are
-// not divided among instances.
-func (b backend[E]) openLimit(now time.Time) int {
+// pooledLimit returns how many attempts may be in flight at now if the slots are not
+// divided among instances.
+func (b backend[E]) pooledLimit(now time.Time) int {
 	switch b.mode {
 	case modeEjected, modeDown, modeLeaving:
 		return 0
 	}
-	// What is over the slots waits here, where its order and place can change.
-	if b.load(now) >= 1+overCommit {
+	// Requests beyond that wait in the queue of this instance, where they can still
+	// be reordered or placed elsewhere.
+	if b.load(now) >= 1+overcommitRatio {
 		return 0
 	}
-	return min(b.listed.Slots, int(b.cap))
+	return min(b.listed.Slots, int(b.shedLimit))
 }
 
-// ramped returns the part of n slots that may be used some time after a start.
-func ramped(n int, grown time.Duration) int {
-	if grown >= rampTime || n <= 0 {
+// ramped returns how many of n slots may be used after elapsed time since the start of
+// the ramp.
+func ramped(n int, elapsed time.Duration) int {
+	if elapsed >= rampTime || n <= 0 {
 		return n
 	}
-	return max(1, int(float64(n)*float64(grown)/float64(rampTime)))
+	return max(1, int(float64(n)*float64(elapsed)/float64(rampTime)))
 }
 
-// healthy tells whether b counts as capacity that may take work.
+// healthy reports whether b counts as capacity that may take work.
 func (b backend[E]) healthy() bool { return b.mode == modeReady || b.mode == modeTrial }
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -1,6 +1,6 @@
-// Package balancer decides what happens to the requests of one service at one
-// instance: admission, order, choice of backend server, retries and hedges,
-// ejection, drain and poisonous requests. It does no I/O and reads no clock.
+// Package balancer decides how one instance handles the requests of one service:
+// admission, queue order, choice of backend server, retries and hedges, ejection,
+// draining and poisonous requests. It does no I/O and reads no clock.
 package balancer
 
 import (
@@ -19,15 +19,15 @@
 const (
 	// maxQueued bounds the queued requests of a service at one instance.
 	maxQueued = 8192
-	// maxDeparted is the number of leaving backend servers remembered in one
-	// generation.
-	maxDeparted = 4096
-	// pauseLimit is the time between two events of a busy service from which
-	// on this process must have been stopped in between.
-	pauseLimit = 250 * time.Millisecond
+	// maxKnownLeaving bounds the leaving backend servers remembered per generation.
+	maxKnownLeaving = 4096
+	// pauseThreshold is the gap between two events of a busy service above which this
+	// process is taken to have been stopped in between.
+	pauseThreshold = 250 * time.Millisecond
 )
 
-// Ended is the end of a request, for tallies and idempotency keys.
+// Ended describes how a request ended. It feeds the tallies and the records of
+// idempotency keys.
 type Ended struct {
 	Request descriptor.RequestID
 	Label   string
@@ -38,24 +38,26 @@
 	Latency time.Duration
 }
 
-// Options are the constant parts of a balancer.
+// Options are the fixed settings of a balancer.
 type Options struct {
 	// Self is the ID of this instance.
 	Self string
 	// Domain is the failure domain of this instance.
 	Domain string
-	// Seed makes the choices of a balancer repeatable.
+	// Seed seeds the random choices, so that a run can be repeated.
 	Seed uint64
 	// NextWrite returns an unused write ID.
 	NextWrite func() descriptor.WriteID
-	// Guests tells that instances that do not share the slots of the service
-	// serve it too. Outcomes of work are pooled then, and decide the placement.
+	// Guests is set when non-owners, instances without a share of the slots, also
+	// send work of the service. Outcomes of work are then pooled over all instances
+	// and decide the placement.
 	Guests bool
-	// Retries bounds what all instances together send again, under Guests.
+	// Retries bounds the retries of all instances together. It applies if Guests is
+	// set.
 	Retries retrier.Bounds
 }
 
-// budget returns the budget for retries of an instance that starts.
+// budget returns the retry budget of an instance that has just started.
 func (o Options) budget() retrier.Budget {
 	if o.Guests {
 		return retrier.NewEmptyBudget()
@@ -63,8 +65,8 @@
 	return retrier.NewBudget(retrier.Standard())
 }
 
-// terms returns how the budget for retries grows at one of a number of serving
-// instances; position is -1 for a guest.
+// terms returns how the retry budget of one of a number of owners grows. position is
+// its index among them, or -1 for a non-owner.
 func (o Options) terms(instances, position int) retrier.Terms {
 	switch {
 	case !o.Guests:
@@ -75,7 +77,7 @@
 	return o.Retries.Part(instances)
 }
 
-// Balancer holds the state of one service. It belongs to one goroutine.
+// Balancer holds the state of one service. Only one goroutine may use it.
 type Balancer[E any, D detector.Policy[E], P picker.Policy, L limiter.Policy] struct {
 	detector D
 	picker   P
@@ -86,83 +88,86 @@
 
 	service  declarer.Service
 	revision uint64
-	// classes has an entry for each class that was ever declared; references
-	// and queues have one for each entry of classes.
+	// classes has an entry for each class that was ever declared. references and
+	// queues are indexed like classes.
 	classes    []class
 	references []detector.Reference
 	queues     []*container.Fair[string, descriptor.RequestID]
 	queued     int
-	// pooled is the distribution over all short classes; it stands in for a
-	// class with few observations.
+	// pooled is the service-time distribution over all short classes. It replaces the
+	// distribution of a class with few observations.
 	pooled detector.Reference
-	// retries lists requests that wait for another backend server.
+	// retries lists the requests that wait for another backend server.
 	retries []descriptor.RequestID
 
 	backends *container.Table[string, backend[E]]
-	// preferred and wary hold the positions of backend servers with a free
-	// slot; wary are those used only if there is no other way.
-	preferred, wary container.Positions
-	// scratch holds the positions that one pick compares.
+	// preferred and lastResort hold the positions of backend servers with a free
+	// slot. lastResort are those that are avoided or on trial.
+	preferred, lastResort container.Positions
+	// scratch holds the positions compared by one pick. It is kept to save
+	// allocations.
 	scratch []int
-	// slots is the sum of the limits at the last refresh; trusted is the number
-	// of healthy backend servers that are not suspected.
-	slots, trusted int
-	requests       *container.Table[descriptor.RequestID, request]
-	budget         retrier.Budget
-	terms          retrier.Terms
-	listed         bool
+	// slots is the sum of the limits at the last refresh. unsuspected is the number
+	// of ready backend servers with a share that were not avoided then.
+	slots, unsuspected int
+	requests           *container.Table[descriptor.RequestID, request]
+	budget             retrier.Budget
+	terms              retrier.Terms
+	listed             bool
 
-	// serving lists the instances that serve the service; position is this
-	// instance's place in it or -1.
+	// serving lists the owners of the service's slots. position is the index of this
+	// instance in it, or -1 for a non-owner.
 	serving  []descriptor.Member
 	position int
-	// fadeUntil is until when an instance that is no longer chosen goes on
-	// with its part; zero means that it is chosen or has stopped.
-	fadeUntil time.Time
+	// shareRetainedUntil is until when an instance that is no longer an owner keeps
+	// its share. Zero means that it is an owner or has given up its share.
+	shareRetainedUntil time.Time
 
 	ejections descriptor.Document
 	proposal  proposal
 	refusal   string
 	peers     map[string]peerEvidence
 	crashes   *container.Generations[uint64, crash]
-	// departed holds the incarnations that were once listed as leaving.
-	departed *container.Generations[string, bool]
-	// untold holds the outcomes that the other instances were not told yet.
-	untold *container.Table[string, descriptor.BackendOutcomes]
-	toldAt time.Time
-	// unserved counts the requests that ended without an answer and that the other
-	// instances were not told of yet.
-	unserved int
-	// recent are the outcomes at all instances.
-	recent window
-	// spreading tells that too few of the backend servers that may be sound are in
+	// knownLeaving holds the incarnations that were ever listed as leaving.
+	knownLeaving *container.Generations[string, bool]
+	// unsentOutcomes holds the outcomes not yet sent to the other instances.
+	unsentOutcomes *container.Table[string, descriptor.BackendOutcomes]
+	outcomesSentAt time.Time
+	// unsentUnserved counts the requests that ended without an answer and were not
+	// yet reported to the other instances.
+	unsentUnserved int
+	// recentOutcomes counts the latest outcomes at all instances.
+	recentOutcomes window
+	// spreading is set when too few of the probably healthy backend servers are in
 	// use.
 	spreading bool
-	// repeated is the moving share of arrivals that may run twice.
-	repeated float64
-	// crowded tells that most slots of the backend servers in use are taken.
+	// repeatableShare is the moving average share of arrivals that may run twice.
+	repeatableShare float64
+	// crowded is set when most slots of the backend servers in use are taken.
 	crowded bool
-	// spreadFrom is the trust from which one gets work that is spread.
-	spreadFrom float64
-	// heardAll tells that a bulletin was taken over since this instance began.
-	heardAll bool
+	// spreadThreshold is the estimated probability of serving a request from which a
+	// backend server gets work to increase the number in use.
+	spreadThreshold float64
+	// suspicionsReceived is set once a suspicion list was applied since the start of
+	// this instance.
+	suspicionsReceived bool
 
-	lastEvent    time.Time
-	lastJudged   time.Time
-	lastEvidence time.Time
-	lastFull     time.Time
-	lastDemand   time.Time
-	actions      []descriptor.Action
-	ended        []Ended
-	candidate    func(int) picker.Candidate
-	now          time.Time
+	lastEvent        time.Time
+	lastEvaluation   time.Time
+	lastEvidence     time.Time
+	lastFullEvidence time.Time
+	lastDemand       time.Time
+	actions          []descriptor.Action
+	ended            []Ended
+	candidate        func(int) picker.Candidate
+	now              time.Time
 }
 
-// class is the record of one class of work.
+// class holds the state of one class of work.
 type class struct {
 	declared declarer.Class
 	inFlight int
-	// retired tells that the class is no longer declared.
+	// retired is set when the class is no longer declared.
 	retired bool
 }
 
@@ -172,7 +177,7 @@
 	return c
 }
 
-// WithDeclared returns c as declared now.
+// WithDeclared returns c with its present declaration.
 func (c class) WithDeclared(d declarer.Class) class {
 	c.declared = d
 	c.retired = false
@@ -182,16 +187,16 @@
 // New returns a balancer without backend servers.
 func New[E any, D detector.Policy[E], P picker.Policy, L limiter.Policy](s declarer.Service, o Options) *Balancer[E, D, P, L] {
 	b := &Balancer[E, D, P, L]{
-		options:  o,
-		random:   rand.NewPCG(o.Seed, o.Seed^0x9e3779b97f4a7c15),
-		backends: container.NewTable[string, backend[E]](),
-		requests: container.NewTable[descriptor.RequestID, request](),
-		budget:   o.budget(),
-		position: -1,
-		peers:    make(map[string]peerEvidence),
-		untold:   container.NewTable[string, descriptor.BackendOutcomes](),
-		departed: container.NewGenerations[string, bool](maxDeparted),
-		crashes:  container.NewGenerations[uint64, crash](maxCrashes),
+		options:        o,
+		random:         rand.NewPCG(o.Seed, o.Seed^0x9e3779b97f4a7c15),
+		backends:       container.NewTable[string, backend[E]](),
+		requests:       container.NewTable[descriptor.RequestID, request](),
+		budget:         o.budget(),
+		position:       -1,
+		peers:          make(map[string]peerEvidence),
+		unsentOutcomes: container.NewTable[string, descriptor.BackendOutcomes](),
+		knownLeaving:   container.NewGenerations[string, bool](maxKnownLeaving),
+		crashes:        container.NewGenerations[uint64, crash](maxCrashes),
 	}
 	b.terms = o.terms(0, -1)
 	b.candidate = func(i int) picker.Candidate { return b.candidateAt(&b.preferred, i) }
@@ -199,8 +204,8 @@
 	return b
 }
 
-// Declare puts a declaration in force. A class that is no longer declared takes
-// no new requests and stays for those it has, so positions never change.
+// Declare applies a declaration. A class that is no longer declared takes no new
+// requests but keeps its entry, so that positions never change.
 func (b *Balancer[E, D, P, L]) Declare(s declarer.Service, revision uint64) {
 	for c := range b.classes {
 		_, ok := s.Class(b.classes[c].declared.Name)
@@ -223,14 +228,14 @@
 // Service returns the declaration in force.
 func (b *Balancer[E, D, P, L]) Service() declarer.Service { return b.service }
 
-// Busy tells whether there are requests that have not ended.
+// Busy reports whether there are requests that have not ended.
 func (b *Balancer[E, D, P, L]) Busy() bool { return b.requests.Len() > 0 }
 
 // Open returns the number of requests that have not ended.
 func (b *Balancer[E, D, P, L]) Open() int { return b.requests.Len() }
 
-// Flush appends the actions and ends since the last call to the given slices
-// and keeps its own buffers.
+// Flush appends the actions and ended requests since the last call to the given
+// slices. It reuses its own buffers.
 func (b *Balancer[E, D, P, L]) Flush(actions []descriptor.Action, ended []Ended) ([]descriptor.Action, []Ended) {
 	actions = append(actions, b.actions...)
 	ended = append(ended, b.ended...)
@@ -246,23 +251,23 @@
 	b.emit(descriptor.Note{Number: number, Service: b.service.Name, Subject: subject, Detail: detail})
 }
 
-// advance sets the present time. A gap that only a stopped process explains is
-// taken out of the ages of open requests.
+// advance sets the current time. A gap that can only come from a stopped process is
+// not counted in the ages of open requests.
 func (b *Balancer[E, D, P, L]) advance(now time.Time) {
 	gap := now.Sub(b.lastEvent)
-	if gap > pauseLimit && !b.lastEvent.IsZero() && b.requests.Len() > 0 {
-		b.shiftClocks(gap)
+	if gap > pauseThreshold && !b.lastEvent.IsZero() && b.requests.Len() > 0 {
+		b.shiftSentTimes(gap)
 	}
 	b.lastEvent = now
 	b.now = now
 }
 
-func (b *Balancer[E, D, P, L]) shiftClocks(gap time.Duration) {
+func (b *Balancer[E, D, P, L]) shiftSentTimes(gap time.Duration) {
 	for i := range b.requests.Len() {
 		_, r := b.requests.At(i)
 		for k := range r.count {
-			if !r.attempts[k].clock.IsZero() {
-				r = r.WithClock(k, r.attempts[k].clock.Add(gap))
+			if !r.attempts[k].sentAt.IsZero() {
+				r = r.WithSentAt(k, r.attempts[k].sentAt.Add(gap))
 			}
 		}
 		b.requests.SetAt(i, r)
@@ -275,8 +280,8 @@
 	if r.queued {
 		b.queued--
 	}
-	if b.options.Guests && unserved(reason) {
-		b.noteUnserved()
+	if b.options.Guests && countsAsUnserved(reason) {
+		b.recordUnserved()
 	}
 	b.ended = append(b.ended, Ended{
 		Request: r.id,
@@ -289,11 +294,11 @@
 	})
 }
 
-// refuse ends a request and tells its caller why.
+// refuse ends a request and tells its caller the reason.
 func (b *Balancer[E, D, P, L]) refuse(r request, reason descriptor.Reason, outcome descriptor.Outcome, retry time.Duration) {
 	b.trace(r, descriptor.NoteRefused, 0, "", reason.String()+" "+outcome.String(), 0)
 	b.emit(descriptor.Refuse{Request: r.id, Reason: reason, Outcome: outcome, Retry: retry})
-	if r.gone {
+	if r.callerGone {
 		reason = descriptor.Abandoned
 	}
 	b.end(r, reason, outcome, 0)
--- a/balancer/balancer_test.go
+++ b/balancer/balancer_test.go
@@ -13,8 +13,8 @@
 	"monsoonswitch/picker"
 )
 
-// bench drives one balancer with fake time.
-type bench struct {
+// fixture drives one balancer with a simulated clock.
+type fixture struct {
 	t        *testing.T
 	b        *Balancer[detector.Evidence, detector.Sequential, picker.Sampled, limiter.Adaptive]
 	now      time.Time
@@ -36,10 +36,10 @@
 	}
 }
 
-// newBench returns a balancer of the first of n serving instances, with backend
-// servers b0, b1, ...
-func newBench(t *testing.T, instances, backends, slots int) *bench {
-	x := &bench{t: t, now: time.Unix(1000, 0)}
+// newFixture returns the balancer of the first of n owners, with backend servers b0,
+// b1, ...
+func newFixture(t *testing.T, instances, backends, slots int) *fixture {
+	x := &fixture{t: t, now: time.Unix(1000, 0)}
 	x.b = New[detector.Evidence, detector.Sequential, picker.Sampled, limiter.Adaptive](testService(), Options{
 		Self: "entry-0",
 		Seed: 1,
@@ -66,13 +66,13 @@
 	return list
 }
 
-// take collects what the balancer did since the last call.
-func (x *bench) take() {
+// take collects the actions and ended requests since the last call.
+func (x *fixture) take() {
 	x.actions, x.ended = x.b.Flush(nil, nil)
 }
 
 // arrive sends a request and returns its dispatch, if it was dispatched.
-func (x *bench) arrive(class string, change func(*descriptor.Arrived)) (descriptor.RequestID, *descriptor.Dispatch) {
+func (x *fixture) arrive(class string, change func(*descriptor.Arrived)) (descriptor.RequestID, *descriptor.Dispatch) {
 	x.requests++
 	e := descriptor.Arrived{
 		At:          x.now,
@@ -91,7 +91,7 @@
 	return e.Request, x.dispatched(e.Request)
 }
 
-func (x *bench) dispatched(id descriptor.RequestID) *descriptor.Dispatch {
+func (x *fixture) dispatched(id descriptor.RequestID) *descriptor.Dispatch {
 	for _, a := range x.actions {
 		if d, ok := a.(descriptor.Dispatch); ok && d.Request == id {
 			return &d
@@ -100,7 +100,7 @@
 	return nil
 }
 
-func (x *bench) refused(id descriptor.RequestID) *descriptor.Refuse {
+func (x *fixture) refused(id descriptor.RequestID) *descriptor.Refuse {
 	for _, a := range x.actions {
 		if r, ok := a.(descriptor.Refuse); ok && r.Request == id {
 			return &r
@@ -110,7 +110,7 @@
 }
 
 // serve answers a dispatched request after d.
-func (x *bench) serve(p descriptor.Dispatch, d time.Duration, status int) {
+func (x *fixture) serve(p descriptor.Dispatch, d time.Duration, status int) {
 	x.now = x.now.Add(d)
 	x.b.Answered(descriptor.Answered{At: x.now, Request: p.Request, Attempt: p.Attempt, Status: status})
 	x.take()
@@ -122,13 +122,13 @@
 	}
 }
 
-func (x *bench) fail(p descriptor.Dispatch, fault descriptor.Fault) {
+func (x *fixture) fail(p descriptor.Dispatch, fault descriptor.Fault) {
 	x.b.Failed(descriptor.Failed{At: x.now, Request: p.Request, Attempt: p.Attempt, Fault: fault, Untouched: true})
 	x.take()
 }
 
-// run ticks for d and keeps every action.
-func (x *bench) run(d time.Duration) {
+// run ticks for d and collects every action.
+func (x *fixture) run(d time.Duration) {
 	var actions []descriptor.Action
 	var ended []Ended
 	for end := x.now.Add(d); x.now.Before(end); {
@@ -141,8 +141,8 @@
 	x.actions, x.ended = actions, ended
 }
 
-// warm serves enough work for the service times to be known.
-func (x *bench) warm() {
+// warm serves enough requests for the service times to be known.
+func (x *fixture) warm() {
 	for i := range 400 {
 		if _, p := x.arrive("visit", nil); p != nil {
 			x.serve(*p, time.Duration(10+i%40)*time.Millisecond, 200)
@@ -150,7 +150,7 @@
 	}
 }
 
-func (x *bench) wantRefusal(id descriptor.RequestID, reason descriptor.Reason, outcome descriptor.Outcome) {
+func (x *fixture) wantRefusal(id descriptor.RequestID, reason descriptor.Reason, outcome descriptor.Outcome) {
 	x.t.Helper()
 	r := x.refused(id)
 	if r == nil {
@@ -162,7 +162,7 @@
 
 func TestSlots(t *testing.T) {
 	t.Run("shares add up and are never exceeded", func(t *testing.T) {
-		x := newBench(t, 3, 6, 3)
+		x := newFixture(t, 3, 6, 3)
 		started := 0
 		for range 20 {
 			if _, p := x.arrive("visit", nil); p != nil {
@@ -172,7 +172,7 @@
 		asserter.Equal(t, "started", started, 6)
 	})
 	t.Run("a freed slot takes the next request", func(t *testing.T) {
-		x := newBench(t, 1, 1, 1)
+		x := newFixture(t, 1, 1, 1)
 		_, first := x.arrive("visit", nil)
 		second, p := x.arrive("visit", nil)
 		asserter.True(t, "second waits", p == nil)
@@ -180,14 +180,14 @@
 		asserter.True(t, "second started", x.dispatched(second) != nil)
 	})
 	t.Run("queued work is refused as not run before its target", func(t *testing.T) {
-		x := newBench(t, 1, 1, 1)
+		x := newFixture(t, 1, 1, 1)
 		x.arrive("visit", nil)
 		id, _ := x.arrive("visit", nil)
 		x.run(500 * time.Millisecond)
 		x.wantRefusal(id, descriptor.Overloaded, descriptor.NotRun)
 	})
 	t.Run("callers take turns", func(t *testing.T) {
-		x := newBench(t, 1, 1, 1)
+		x := newFixture(t, 1, 1, 1)
 		_, running := x.arrive("visit", nil)
 		for range 50 {
 			x.arrive("visit", func(e *descriptor.Arrived) { e.Caller = "greedy" })
@@ -203,7 +203,7 @@
 		asserter.True(t, "modest caller is second", x.dispatched(modest) != nil)
 	})
 	t.Run("long work never takes every slot", func(t *testing.T) {
-		x := newBench(t, 1, 6, 3)
+		x := newFixture(t, 1, 6, 3)
 		started := 0
 		for range 30 {
 			if _, p := x.arrive("upload", nil); p != nil {
@@ -214,24 +214,24 @@
 		_, p := x.arrive("visit", nil)
 		asserter.True(t, "short work starts", p != nil)
 	})
-	t.Run("a lent slot is not used until the loan ends", func(t *testing.T) {
-		x := newBench(t, 2, 2, 2)
+	t.Run("a slot leased out is not used until the lease ends", func(t *testing.T) {
+		x := newFixture(t, 2, 2, 2)
 		x.b.HearDemand(x.now, descriptor.Member{ID: "entry-1"}, descriptor.Demand{Service: "fieldbook", Slots: 1})
 		x.take()
-		asserter.Equal(t, "loans", len(x.actions), 1)
+		asserter.Equal(t, "leases", len(x.actions), 1)
 		started := 0
 		for range 4 {
 			if _, p := x.arrive("visit", nil); p != nil {
 				started++
 			}
 		}
-		asserter.Equal(t, "started beside the loan", started, 1)
+		asserter.Equal(t, "started beside the lease", started, 1)
 	})
 }
 
 func TestRetry(t *testing.T) {
 	t.Run("refused connection goes elsewhere for all work", func(t *testing.T) {
-		x := newBench(t, 1, 3, 1)
+		x := newFixture(t, 1, 3, 1)
 		_, p := x.arrive("booking", nil)
 		x.fail(*p, descriptor.FaultConnect)
 		again := x.dispatched(p.Request)
@@ -239,19 +239,19 @@
 		asserter.True(t, "to another one", again.Backend.ID != p.Backend.ID)
 	})
 	t.Run("broken non-idempotent work is never sent again", func(t *testing.T) {
-		x := newBench(t, 1, 3, 1)
+		x := newFixture(t, 1, 3, 1)
 		id, p := x.arrive("booking", nil)
 		x.fail(*p, descriptor.FaultBroken)
 		x.wantRefusal(id, descriptor.BackendFailed, descriptor.MayHaveRun)
 	})
-	t.Run("shed non-idempotent work is refused truthfully when nothing is left", func(t *testing.T) {
-		x := newBench(t, 1, 1, 1)
+	t.Run("shed non-idempotent work is refused as not run when no backend server is left", func(t *testing.T) {
+		x := newFixture(t, 1, 1, 1)
 		id, p := x.arrive("booking", nil)
 		x.fail(*p, descriptor.FaultShed)
 		x.wantRefusal(id, descriptor.Overloaded, descriptor.NotRun)
 	})
-	t.Run("the budget ends a storm", func(t *testing.T) {
-		x := newBench(t, 1, 6, 3)
+	t.Run("the budget bounds the retries when all work fails", func(t *testing.T) {
+		x := newFixture(t, 1, 6, 3)
 		attempts := 0
 		for range 200 {
 			_, p := x.arrive("visit", nil)
@@ -269,15 +269,15 @@
 		}
 		asserter.AtMost(t, "attempts", attempts, 215)
 	})
-	t.Run("slow work of which little is known is hedged while it can meet its target", func(t *testing.T) {
-		x := newBench(t, 1, 6, 3)
+	t.Run("slow work of a class with few observations is hedged while it can meet its target", func(t *testing.T) {
+		x := newFixture(t, 1, 6, 3)
 		visit, _ := x.b.Service().Class("visit")
 		_, p := x.arrive("visit", nil)
 		x.run(visit.Target * 6 / 10)
 		asserter.True(t, "hedged", x.dispatched(p.Request) != nil)
 	})
 	t.Run("overdue work is hedged and the slower answer dropped", func(t *testing.T) {
-		x := newBench(t, 1, 6, 3)
+		x := newFixture(t, 1, 6, 3)
 		x.warm()
 		_, p := x.arrive("visit", nil)
 		x.run(200 * time.Millisecond)
@@ -296,24 +296,24 @@
 }
 
 func TestCutAndGone(t *testing.T) {
-	t.Run("a cut answer ran", func(t *testing.T) {
-		x := newBench(t, 1, 2, 1)
+	t.Run("work with a cut answer counts as run", func(t *testing.T) {
+		x := newFixture(t, 1, 2, 1)
 		id, p := x.arrive("visit", nil)
 		x.b.Answered(descriptor.Answered{At: x.now, Request: id, Attempt: p.Attempt, Status: 200})
 		x.take()
 		x.fail(*p, descriptor.FaultCut)
 		x.wantRefusal(id, descriptor.AnswerCut, descriptor.Ran)
 	})
-	t.Run("a caller that leaves ends idempotent work", func(t *testing.T) {
-		x := newBench(t, 1, 2, 1)
+	t.Run("idempotent work is cancelled when its caller disconnects", func(t *testing.T) {
+		x := newFixture(t, 1, 2, 1)
 		id, p := x.arrive("visit", nil)
 		x.b.Gone(descriptor.Gone{At: x.now, Request: id})
 		x.take()
 		asserter.Equal(t, "first action", x.actions[0], descriptor.Action(descriptor.Cancel{Request: id, Attempt: p.Attempt}))
 		asserter.Equal(t, "open requests", x.b.Open(), 0)
 	})
-	t.Run("other work runs on", func(t *testing.T) {
-		x := newBench(t, 1, 2, 1)
+	t.Run("non-idempotent work runs on when its caller disconnects", func(t *testing.T) {
+		x := newFixture(t, 1, 2, 1)
 		id, p := x.arrive("booking", nil)
 		x.b.Gone(descriptor.Gone{At: x.now, Request: id})
 		x.take()
@@ -327,16 +327,16 @@
 }
 
 func TestDrain(t *testing.T) {
-	x := newBench(t, 2, 2, 4)
+	x := newFixture(t, 2, 2, 4)
 	_, p := x.arrive("visit", nil)
 	x.b.Answered(descriptor.Answered{At: x.now, Request: p.Request, Attempt: p.Attempt, Status: 200, Health: descriptor.HealthDraining})
 	x.take()
-	told := false
+	notified := false
 	for _, a := range x.actions {
 		s, ok := a.(descriptor.Send)
-		told = told || ok && s.Message.Type() == descriptor.TypeDrain
+		notified = notified || ok && s.Message.Type() == descriptor.TypeDrain
 	}
-	asserter.True(t, "told the other instance", told)
+	asserter.True(t, "notified the other instance", notified)
 	for range 2 {
 		_, next := x.arrive("visit", nil)
 		asserter.True(t, "started", next != nil)
@@ -346,8 +346,8 @@
 
 func TestPoison(t *testing.T) {
 	mark := func(e *descriptor.Arrived) { e.Fingerprint = 99 }
-	t.Run("two crashes end it", func(t *testing.T) {
-		x := newBench(t, 1, 6, 3)
+	t.Run("a request is refused after two crashes", func(t *testing.T) {
+		x := newFixture(t, 1, 6, 3)
 		crashes := 0
 		for range 5 {
 			_, p := x.arrive("visit", mark)
@@ -364,14 +364,14 @@
 		x.wantRefusal(id, descriptor.Poisoned, descriptor.NotRun)
 	})
 	t.Run("crashes at another instance count", func(t *testing.T) {
-		x := newBench(t, 2, 6, 3)
+		x := newFixture(t, 2, 6, 3)
 		x.b.HearCrash(x.now, descriptor.Crash{Fingerprint: 99, Backend: "b1"})
 		x.b.HearCrash(x.now, descriptor.Crash{Fingerprint: 99, Backend: "b2"})
 		id, _ := x.arrive("visit", mark)
 		x.wantRefusal(id, descriptor.Poisoned, descriptor.NotRun)
 	})
-	t.Run("a broken connection of a backend server that is up is no crash", func(t *testing.T) {
-		x := newBench(t, 1, 6, 3)
+	t.Run("a broken connection is not a crash if the backend server is up", func(t *testing.T) {
+		x := newFixture(t, 1, 6, 3)
 		for range 3 {
 			_, p := x.arrive("booking", mark)
 			x.fail(*p, descriptor.FaultBroken)
@@ -381,8 +381,8 @@
 		_, p := x.arrive("booking", mark)
 		asserter.True(t, "still served", p != nil)
 	})
-	t.Run("a backend server that came back did break down", func(t *testing.T) {
-		x := newBench(t, 1, 6, 3)
+	t.Run("a crash still counts when the backend server is up again", func(t *testing.T) {
+		x := newFixture(t, 1, 6, 3)
 		for range 2 {
 			_, p := x.arrive("booking", mark)
 			x.fail(*p, descriptor.FaultBroken)
--- a/balancer/dump.go
+++ b/balancer/dump.go
@@ -53,17 +53,17 @@
 		Address:  s.listed.Address,
 		Share:    s.share,
 		InFlight: s.inFlight,
-		Long:     s.long,
+		Long:     s.longInFlight,
 		State:    s.mode.String(),
-		Local:    b.detector.Score(s.evidence) + s.open,
-		Fleet:    s.fleet,
+		Local:    b.detector.Score(s.evidence) + s.overdueScore,
+		Fleet:    s.fleetScore,
 		Avoided:  s.avoided,
 	}
-	if now.Before(s.borrowedUntil) {
-		d.Borrowed = s.borrowed
+	if now.Before(s.leasedInUntil) {
+		d.Borrowed = s.leasedIn
 	}
-	if now.Before(s.lentUntil) {
-		d.Lent = s.lent
+	if now.Before(s.leasedOutUntil) {
+		d.Lent = s.leasedOut
 	}
 	return d
 }
--- a/balancer/eject.go
+++ b/balancer/eject.go
@@ -8,48 +8,49 @@
 	"monsoonswitch/descriptor"
 )
 
-// Times of ejections.
+// Parameters of ejections.
 const (
-	// holdFirst and holdLast bound the hold-off, which doubles with each
-	// ejection in a row.
-	holdFirst = 10 * time.Second
-	holdLast  = 5 * time.Minute
-	// strikeTime is how long after its end an ejection counts as in a row.
+	// minHoldOff and maxHoldOff bound the hold-off, which doubles with each ejection
+	// in a row.
+	minHoldOff = 10 * time.Second
+	maxHoldOff = 5 * time.Minute
+	// strikeTime is how long after its end an ejection counts as one in a row.
 	strikeTime = 2 * time.Minute
-	// avoidFirst and avoidLast bound how long one instance alone prefers other
-	// backend servers.
-	avoidFirst = 2 * time.Second
-	avoidLast  = time.Minute
+	// minAvoidTime and maxAvoidTime bound how long an instance prefers other backend servers
+	// on its own evidence.
+	minAvoidTime = 2 * time.Second
+	maxAvoidTime = time.Minute
 	// proposalWait is the wait after a proposal that did not reach the store.
 	proposalWait = time.Second
-	// evidenceTime is how long the evidence of a silent instance holds.
-	evidenceTime = 10 * time.Second
-	// aloneFactor is how many times more evidence an instance needs that alone
-	// has work at a backend server.
-	aloneFactor = 1.5
-	// urgentShare is the part of the limit from which evidence is told at once.
-	urgentShare = 0.2
-	// restShare is the part of the limit that the evidence of all instances but
-	// the strongest accuser must reach.
-	restShare = 0.6
+	// evidenceLifetime is how long the last evidence of another instance is used.
+	evidenceLifetime = 10 * time.Second
+	// onlyUserFactor multiplies the evidence needed by an instance that is the only
+	// one with work at a backend server.
+	onlyUserFactor = 1.5
+	// urgentScoreRatio is the part of the detector's limit from which evidence is
+	// sent at once.
+	urgentScoreRatio = 0.2
+	// corroborationRatio is the part of the limit that the evidence must reach
+	// without the instance that reports the highest score.
+	corroborationRatio = 0.6
 )
 
-// proposal is a write of the set of ejections on its way to the store.
+// proposal is a pending write of the set of ejections to the store.
 type proposal struct {
-	// id is 0 when there is none.
+	// id is 0 if no write is pending.
 	id       descriptor.WriteID
 	document descriptor.Document
-	// retryAt is when the next one may be made.
+	// retryAt is the earliest time of the next proposal.
 	retryAt time.Time
 }
 
-// peerEvidence is what another serving instance reported.
+// peerEvidence is the evidence last reported by another owner.
 type peerEvidence struct {
 	at     time.Time
 	scores *container.Table[string, descriptor.Score]
 }
 
-// HearEvidence takes in the evidence of another serving instance.
+// HearEvidence stores the evidence reported by another owner.
 func (b *Balancer[E, D, P, L]) HearEvidence(now time.Time, from string, m descriptor.Evidence) {
 	b.advance(now)
 	table := container.NewTable[string, descriptor.Score]()
@@ -59,7 +60,7 @@
 	b.peers[from] = peerEvidence{at: b.now, scores: table}
 }
 
-// forgetEvidence drops what other instances reported of a backend server.
+// forgetEvidence deletes the reports of other instances about a backend server.
 func (b *Balancer[E, D, P, L]) forgetEvidence(id string) {
 	for _, p := range b.peers {
 		p.scores.Delete(id)
@@ -78,38 +79,38 @@
 	}
 }
 
-// verdict is the evidence about one backend server over all instances.
-type verdict struct {
+// assessment is the evidence of all owners about one backend server.
+type assessment struct {
 	position int
-	// own and total are relative to the median of the peers.
+	// own and total are relative to the median over the healthy backend servers.
 	own, total float64
-	// rest is the evidence without that of the strongest accuser.
-	rest float64
-	// alone tells that every other instance reported that it had no work there.
-	alone bool
+	// corroboration is total without the highest score of one instance.
+	corroboration float64
+	// onlyUser is set if all other owners reported that they had no work there.
+	onlyUser bool
 }
 
-// judge weighs the evidence and decides which backend servers to avoid here and
-// which to propose for ejection.
-func (b *Balancer[E, D, P, L]) judge() {
+// evaluate weighs the evidence and decides which backend servers this instance avoids
+// and which it proposes for ejection.
+func (b *Balancer[E, D, P, L]) evaluate() {
 	b.applyEjections()
-	verdicts := b.verdicts()
+	verdicts := b.assessments()
 	for _, v := range verdicts {
 		b.updateAvoidance(v)
 	}
 	if b.position < 0 || b.proposal.id != 0 || b.now.Before(b.proposal.retryAt) {
 		return
 	}
-	b.propose(b.convicted(verdicts))
+	b.propose(b.ejectable(verdicts))
 }
 
-func (b *Balancer[E, D, P, L]) verdicts() []verdict {
+func (b *Balancer[E, D, P, L]) assessments() []assessment {
 	n := b.backends.Len()
-	result := make([]verdict, 0, n)
+	result := make([]assessment, 0, n)
 	own := make([]float64, 0, n)
 	total := make([]float64, 0, n)
 	for i := range n {
-		v := b.weigh(i)
+		v := b.assess(i)
 		result = append(result, v)
 		if _, s := b.backends.At(i); s.healthy() {
 			own = append(own, v.own)
@@ -121,15 +122,15 @@
 		result[i].own -= ownMedian
 		result[i].total -= totalMedian
 		_, s := b.backends.At(i)
-		s.fleet = result[i].total
+		s.fleetScore = result[i].total
 		b.backends.SetAt(i, s)
 	}
 	return result
 }
 
-func (b *Balancer[E, D, P, L]) weigh(i int) verdict {
+func (b *Balancer[E, D, P, L]) assess(i int) assessment {
 	id, s := b.backends.At(i)
-	v := verdict{position: i, own: b.detector.Score(s.evidence) + s.open, alone: true}
+	v := assessment{position: i, own: b.detector.Score(s.evidence) + s.overdueScore, onlyUser: true}
 	v.total = v.own
 	strongest := v.own
 	for _, m := range b.serving {
@@ -137,20 +138,20 @@
 			continue
 		}
 		p, ok := b.peers[m.ID]
-		if !ok || b.now.Sub(p.at) > evidenceTime {
-			v.alone = false
+		if !ok || b.now.Sub(p.at) > evidenceLifetime {
+			v.onlyUser = false
 			continue
 		}
 		score, _ := p.scores.Get(id)
 		v.total += score.Value
 		strongest = max(strongest, score.Value)
-		v.alone = v.alone && score.Recent == 0
+		v.onlyUser = v.onlyUser && score.Recent == 0
 	}
-	v.rest = v.total - strongest
+	v.corroboration = v.total - strongest
 	return v
 }
 
-// median returns the lower median of values, which it reorders.
+// median returns the lower median of values. It sorts values in place.
 func median(values []float64) float64 {
 	if len(values) == 0 {
 		return 0
@@ -159,11 +160,11 @@
 	return values[(len(values)-1)/2]
 }
 
-// updateAvoidance prefers other backend servers as soon as this instance alone
-// has enough evidence, and tries again after a growing wait.
-func (b *Balancer[E, D, P, L]) updateAvoidance(v verdict) {
+// updateAvoidance avoids a backend server once the evidence of this instance
+// suffices. It tries the backend server again after a wait that doubles each time.
+func (b *Balancer[E, D, P, L]) updateAvoidance(v assessment) {
 	if b.options.Guests {
-		// The pooled outcomes say whom to avoid, and for how long.
+		// Pooled outcomes decide the placement instead.
 		return
 	}
 	id, s := b.backends.At(v.position)
@@ -180,41 +181,41 @@
 	if s.avoided || s.mode != modeReady || v.own < b.detector.Caution() {
 		return
 	}
-	if b.now.Sub(s.avoidUntil) > avoidLast {
-		s.avoidance = 0
+	if b.now.Sub(s.avoidUntil) > maxAvoidTime {
+		s.avoidCount = 0
 	}
 	s.avoided = true
-	s.avoidUntil = b.now.Add(min(avoidLast, avoidFirst<<min(s.avoidance, 8)))
-	s.avoidance++
+	s.avoidUntil = b.now.Add(min(maxAvoidTime, minAvoidTime<<min(s.avoidCount, 8)))
+	s.avoidCount++
 	b.backends.SetAt(v.position, s)
 	b.note(descriptor.NoteAvoided, id, "others are preferred here")
 }
 
-// finishTrial ends the trial of a backend server that did well.
-func (b *Balancer[E, D, P, L]) finishTrial(v verdict) {
+// finishTrial ends the trial of a backend server that gave enough answers.
+func (b *Balancer[E, D, P, L]) finishTrial(v assessment) {
 	id, s := b.backends.At(v.position)
-	if s.good < trialGoal {
+	if s.trialAnswers < trialAnswersNeeded {
 		return
 	}
-	var fresh E
-	b.backends.SetAt(v.position, s.WithReturn(b.now, fresh))
+	var noEvidence E
+	b.backends.SetAt(v.position, s.WithReturn(b.now, noEvidence))
 	b.note(descriptor.NoteReturned, id, "trial passed")
 }
 
-// convicted returns the positions of backend servers to eject, worst first. A
-// fault that only one of several instances sees is a fault of its path, unless
-// no other one has work there.
-func (b *Balancer[E, D, P, L]) convicted(verdicts []verdict) []verdict {
-	var result []verdict
+// ejectable returns the assessments of the backend servers to eject, worst first. A
+// fault seen by only one of several instances is attributed to its network path,
+// unless no other instance has work there.
+func (b *Balancer[E, D, P, L]) ejectable(verdicts []assessment) []assessment {
+	var result []assessment
 	for _, v := range verdicts {
 		_, s := b.backends.At(v.position)
 		limit := b.detector.Limit()
 		if s.mode == modeTrial {
 			limit = b.detector.Caution()
 		}
-		together := v.total >= limit && v.rest >= restShare*limit
-		alone := v.alone && v.own >= aloneLimit(limit, len(b.serving))
-		if s.healthy() && (together || alone) {
+		corroborated := v.total >= limit && v.corroboration >= corroborationRatio*limit
+		enoughAlone := v.onlyUser && v.own >= onlyUserLimit(limit, len(b.serving))
+		if s.healthy() && (corroborated || enoughAlone) {
 			result = append(result, v)
 		}
 	}
@@ -222,34 +223,35 @@
 	return result
 }
 
-// aloneLimit returns the evidence with which one instance convicts by itself.
-func aloneLimit(limit float64, instances int) float64 {
+// onlyUserLimit returns the evidence that an instance needs to eject a backend server
+// on its own.
+func onlyUserLimit(limit float64, instances int) float64 {
 	if instances == 1 {
 		return limit
 	}
-	return aloneFactor * limit
+	return onlyUserFactor * limit
 }
 
-// propose writes a larger set of ejections to the store if the floor allows.
-func (b *Balancer[E, D, P, L]) propose(verdicts []verdict) {
+// propose writes a larger set of ejections to the store if the floor allows it.
+func (b *Balancer[E, D, P, L]) propose(verdicts []assessment) {
 	b.refusal = ""
 	if len(verdicts) == 0 {
 		return
 	}
 	kept := b.keptEjections()
-	room := b.allowance() - b.holding(kept)
+	allowed := b.ejectionAllowance() - b.countActive(kept)
 	added := false
 	for _, v := range verdicts {
 		id, _ := b.backends.At(v.position)
-		if b.holds(kept, id) {
+		if b.hasActive(kept, id) {
 			continue
 		}
-		if room <= 0 {
+		if allowed <= 0 {
 			b.refusal = "floor"
 			continue
 		}
 		kept = b.withEjection(kept, id)
-		room--
+		allowed--
 		added = true
 	}
 	if added {
@@ -268,23 +270,24 @@
 	b.emit(descriptor.Write{Write: b.proposal.id, Document: document, Expect: b.ejections.Revision})
 }
 
-// allowance returns how many backend servers may be ejected now. Backend servers
-// that are down or leaving are no capacity and are not counted.
-func (b *Balancer[E, D, P, L]) allowance() int {
-	live, unable := 0, 0
+// ejectionAllowance returns how many backend servers may be ejected at once. Those
+// that are down or leaving do not count as capacity.
+func (b *Balancer[E, D, P, L]) ejectionAllowance() int {
+	live, down := 0, 0
 	for _, s := range b.backends.All {
 		if s.listed.Leaving || s.mode == modeLeaving {
 			continue
 		}
 		live++
 		if s.mode == modeDown {
-			unable++
+			down++
 		}
 	}
-	return live - unable - b.service.Keep(live)
+	return live - down - b.service.Keep(live)
 }
 
-// keptEjections returns the entries of the set that are still of use.
+// keptEjections returns the entries of the set that still matter for the number of
+// strikes.
 func (b *Balancer[E, D, P, L]) keptEjections() []descriptor.Ejection {
 	var kept []descriptor.Ejection
 	for _, e := range b.ejections.Ejections {
@@ -295,8 +298,8 @@
 	return kept
 }
 
-// holding counts the entries whose hold-off has not ended.
-func (b *Balancer[E, D, P, L]) holding(list []descriptor.Ejection) int {
+// countActive counts the entries whose hold-off has not ended.
+func (b *Balancer[E, D, P, L]) countActive(list []descriptor.Ejection) int {
 	n := 0
 	for _, e := range list {
 		if b.now.Before(e.Until) {
@@ -306,7 +309,7 @@
 	return n
 }
 
-func (b *Balancer[E, D, P, L]) holds(list []descriptor.Ejection, id string) bool {
+func (b *Balancer[E, D, P, L]) hasActive(list []descriptor.Ejection, id string) bool {
 	for _, e := range list {
 		if e.Backend == id && b.now.Before(e.Until) {
 			return true
@@ -326,24 +329,24 @@
 		}
 		result = append(result, e)
 	}
-	hold := min(holdLast, holdFirst<<min(strikes-1, 10))
+	holdOff := min(maxHoldOff, minHoldOff<<min(strikes-1, 10))
 	return append(result, descriptor.Ejection{
 		Backend: id,
 		By:      b.options.Self,
 		Since:   b.now,
-		Until:   b.now.Add(hold),
+		Until:   b.now.Add(holdOff),
 		Strikes: strikes,
 	})
 }
 
-// Proposed tells whether a write is the proposal under way.
+// Proposed reports whether a write is the pending proposal.
 func (b *Balancer[E, D, P, L]) Proposed(id descriptor.WriteID) bool {
 	return id != 0 && id == b.proposal.id
 }
 
-// Written takes in the end of the proposal under way and returns the set that
-// the store now holds, if that is known. A conflict brings the set that another
-// instance wrote; the next tick judges again.
+// Written handles the result of the pending proposal. It returns the set now in the
+// store and whether it is known. After a conflict this is the set written by another
+// instance, and the next tick evaluates again.
 func (b *Balancer[E, D, P, L]) Written(e descriptor.Written) (descriptor.Document, bool) {
 	b.advance(e.At)
 	document := b.proposal.document
@@ -361,8 +364,8 @@
 	return descriptor.Document{}, false
 }
 
-// Eject puts a set of ejections in force unless a newer one is. It reports
-// whether the set was new.
+// Eject applies a set of ejections unless a newer one is in force. It reports whether
+// the set was new.
 func (b *Balancer[E, D, P, L]) Eject(now time.Time, d descriptor.Document) bool {
 	b.advance(now)
 	if d.Revision <= b.ejections.Revision {
@@ -374,31 +377,31 @@
 	return true
 }
 
-// applyEjections gives each backend server the mode that the set and the floor
-// ask for. When capacity was lost since, the newest ejections give way.
+// applyEjections sets the mode of each backend server from the set of ejections and
+// the floor. If capacity was lost since, the newest ejections are not enforced.
 func (b *Balancer[E, D, P, L]) applyEjections() {
-	room := b.allowance()
+	allowed := b.ejectionAllowance()
 	for _, e := range b.ejections.Ejections {
 		p := b.backends.Position(e.Backend)
 		if p < 0 {
 			continue
 		}
-		holding := b.now.Before(e.Until) && room > 0
-		if holding {
-			room--
+		active := b.now.Before(e.Until) && allowed > 0
+		if active {
+			allowed--
 		}
 		_, s := b.backends.At(p)
-		b.backends.SetAt(p, b.withHold(s, e, holding))
+		b.backends.SetAt(p, b.withEjectionState(s, e, active))
 	}
 }
 
-func (b *Balancer[E, D, P, L]) withHold(s backend[E], e descriptor.Ejection, holding bool) backend[E] {
+func (b *Balancer[E, D, P, L]) withEjectionState(s backend[E], e descriptor.Ejection, active bool) backend[E] {
 	switch {
-	case holding && s.healthy():
-		b.note(descriptor.NoteEjected, s.listed.ID, "by "+e.By+" strike "+count(e.Strikes))
+	case active && s.healthy():
+		b.note(descriptor.NoteEjected, s.listed.ID, "by "+e.By+" strike "+itoa(e.Strikes))
 		b.forgetEvidence(s.listed.ID)
 		return s.WithEjection()
-	case !holding && s.mode == modeEjected:
+	case !active && s.mode == modeEjected:
 		b.note(descriptor.NoteTrial, s.listed.ID, "hold-off ended")
 		return s.WithTrial(b.now)
 	}
--- a/balancer/eject_test.go
+++ b/balancer/eject_test.go
@@ -8,9 +8,9 @@
 	"monsoonswitch/descriptor"
 )
 
-// accuse gives the balancer overwhelming evidence of its own and of another
-// instance against backend servers.
-func (x *bench) accuse(ids ...string) {
+// addEvidence gives the balancer strong evidence against backend servers, its own and that
+// of another instance.
+func (x *fixture) addEvidence(ids ...string) {
 	m := descriptor.Evidence{Service: "fieldbook"}
 	for _, id := range ids {
 		p := x.b.backends.Position(id)
@@ -22,8 +22,8 @@
 	x.b.HearEvidence(x.now, "entry-1", m)
 }
 
-// proposal returns the set of ejections proposed to the store, if any.
-func (x *bench) proposal() *descriptor.Write {
+// proposal returns the pending write of the set of ejections, if any.
+func (x *fixture) proposal() *descriptor.Write {
 	for _, a := range x.actions {
 		if w, ok := a.(descriptor.Write); ok {
 			return &w
@@ -32,8 +32,8 @@
 	return nil
 }
 
-// accept answers a proposal as the store would.
-func (x *bench) accept(w *descriptor.Write, revision uint64) {
+// accept accepts a proposal as the store would.
+func (x *fixture) accept(w *descriptor.Write, revision uint64) {
 	d, ok := x.b.Written(descriptor.Written{At: x.now, Write: w.Write, Revision: revision})
 	asserter.True(x.t, "accepted", ok)
 	x.b.Eject(x.now, d)
@@ -41,28 +41,28 @@
 }
 
 func TestFloor(t *testing.T) {
-	t.Run("a proposal leaves the floor", func(t *testing.T) {
-		x := newBench(t, 2, 6, 3)
-		x.accuse("b0", "b1")
+	t.Run("a proposal keeps the floor", func(t *testing.T) {
+		x := newFixture(t, 2, 6, 3)
+		x.addEvidence("b0", "b1")
 		x.run(50 * time.Millisecond)
 		w := x.proposal()
 		asserter.True(t, "proposed", w != nil)
 		asserter.AtMost(t, "ejected at first", len(w.Document.Ejections), 2)
 	})
-	t.Run("capacity that is down counts as gone", func(t *testing.T) {
-		x := newBench(t, 2, 6, 3)
+	t.Run("backend servers that are down are no capacity", func(t *testing.T) {
+		x := newFixture(t, 2, 6, 3)
 		for _, id := range []string{"b4", "b5"} {
 			x.b.Probed(descriptor.Probed{At: x.now, Backend: id})
 		}
 		x.take()
-		x.accuse("b0")
+		x.addEvidence("b0")
 		x.run(50 * time.Millisecond)
 		asserter.True(t, "nothing proposed", x.proposal() == nil)
 		asserter.Equal(t, "reason", x.b.Dump(x.now).Refused, "floor")
 	})
-	t.Run("an ejection gives way when capacity is lost later", func(t *testing.T) {
-		x := newBench(t, 2, 6, 3)
-		x.accuse("b0", "b1")
+	t.Run("an ejection is lifted when capacity is lost later", func(t *testing.T) {
+		x := newFixture(t, 2, 6, 3)
+		x.addEvidence("b0", "b1")
 		x.run(50 * time.Millisecond)
 		x.accept(x.proposal(), 7)
 		asserter.Equal(t, "ejected", ejectedCount(x), 2)
@@ -71,31 +71,31 @@
 		asserter.Equal(t, "ejected with one down", ejectedCount(x), 1)
 	})
 	t.Run("an older set never replaces a newer one", func(t *testing.T) {
-		x := newBench(t, 2, 6, 3)
+		x := newFixture(t, 2, 6, 3)
 		until := x.now.Add(time.Minute)
 		x.b.Eject(x.now, descriptor.Document{Revision: 9, Ejections: []descriptor.Ejection{{Backend: "b0", Until: until}}})
 		got := x.b.Eject(x.now, descriptor.Document{Revision: 8})
 		asserter.Equal(t, "took the older set", got, false)
 		asserter.Equal(t, "ejected", ejectedCount(x), 1)
 	})
-	t.Run("a conflict takes the set of the other instance", func(t *testing.T) {
-		x := newBench(t, 2, 6, 3)
-		x.accuse("b0")
+	t.Run("a conflict applies the set of the other instance", func(t *testing.T) {
+		x := newFixture(t, 2, 6, 3)
+		x.addEvidence("b0")
 		x.run(50 * time.Millisecond)
 		w := x.proposal()
-		theirs := descriptor.Document{Revision: 4, Ejections: []descriptor.Ejection{
+		current := descriptor.Document{Revision: 4, Ejections: []descriptor.Ejection{
 			{Backend: "b2", Until: x.now.Add(time.Minute)}, {Backend: "b3", Until: x.now.Add(time.Minute)},
 		}}
-		d, ok := x.b.Written(descriptor.Written{At: x.now, Write: w.Write, Result: descriptor.WriteConflict, Current: theirs})
+		d, ok := x.b.Written(descriptor.Written{At: x.now, Write: w.Write, Result: descriptor.WriteConflict, Current: current})
 		asserter.True(t, "has a set", ok)
 		x.b.Eject(x.now, d)
 		x.run(100 * time.Millisecond)
 		asserter.True(t, "no third ejection", x.proposal() == nil)
 		asserter.Equal(t, "reason", x.b.Dump(x.now).Refused, "floor")
 	})
-	t.Run("without the store others are preferred", func(t *testing.T) {
-		x := newBench(t, 2, 6, 3)
-		x.accuse("b0")
+	t.Run("without the store the backend server is avoided", func(t *testing.T) {
+		x := newFixture(t, 2, 6, 3)
+		x.addEvidence("b0")
 		x.run(50 * time.Millisecond)
 		_, _ = x.b.Written(descriptor.Written{At: x.now, Write: x.proposal().Write, Result: descriptor.WriteUnavailable})
 		x.take()
@@ -107,7 +107,7 @@
 	})
 }
 
-func ejectedCount(x *bench) int {
+func ejectedCount(x *fixture) int {
 	n := 0
 	for _, s := range x.b.backends.All {
 		if s.mode == modeEjected {
@@ -117,9 +117,9 @@
 	return n
 }
 
-func TestConviction(t *testing.T) {
+func TestEjectionDecision(t *testing.T) {
 	t.Run("a fault seen by one of two instances ejects nothing", func(t *testing.T) {
-		x := newBench(t, 2, 6, 3)
+		x := newFixture(t, 2, 6, 3)
 		p := x.b.backends.Position("b0")
 		_, s := x.b.backends.At(p)
 		s.evidence = s.evidence.WithSteps(40, 0)
@@ -129,14 +129,14 @@
 		asserter.True(t, "nothing proposed", x.proposal() == nil)
 		asserter.True(t, "avoided here", x.b.Avoids("b0"))
 	})
-	t.Run("if all are slow nobody is ejected", func(t *testing.T) {
-		x := newBench(t, 2, 6, 3)
-		x.accuse("b0", "b1", "b2", "b3", "b4", "b5")
+	t.Run("no backend server is ejected if all are slow", func(t *testing.T) {
+		x := newFixture(t, 2, 6, 3)
+		x.addEvidence("b0", "b1", "b2", "b3", "b4", "b5")
 		x.run(100 * time.Millisecond)
 		asserter.True(t, "nothing proposed", x.proposal() == nil)
 	})
-	t.Run("a stall counts while it stalls", func(t *testing.T) {
-		x := newBench(t, 1, 6, 3)
+	t.Run("open requests of a stalled backend server count as evidence", func(t *testing.T) {
+		x := newFixture(t, 1, 6, 3)
 		x.warm()
 		var other []descriptor.Dispatch
 		for range 18 {
@@ -153,8 +153,8 @@
 		asserter.True(t, "proposed", x.proposal() != nil)
 		asserter.Equal(t, "backend", x.proposal().Document.Ejections[0].Backend, "b0")
 	})
-	t.Run("connections that break again and again convict", func(t *testing.T) {
-		x := newBench(t, 1, 6, 3)
+	t.Run("repeatedly broken connections count as evidence", func(t *testing.T) {
+		x := newFixture(t, 1, 6, 3)
 		x.warm()
 		for range 400 {
 			_, p := x.arrive("booking", nil)
@@ -168,8 +168,8 @@
 		x.run(100 * time.Millisecond)
 		asserter.True(t, "avoided", x.b.Avoids("b0"))
 	})
-	t.Run("a stopped process convicts nobody", func(t *testing.T) {
-		x := newBench(t, 1, 6, 3)
+	t.Run("no backend server is ejected after a pause of this process", func(t *testing.T) {
+		x := newFixture(t, 1, 6, 3)
 		x.warm()
 		for range 3 {
 			x.arrive("booking", nil)
@@ -179,19 +179,19 @@
 		asserter.True(t, "nothing proposed", x.proposal() == nil)
 	})
 	t.Run("a trial ends in return or in a longer hold-off", func(t *testing.T) {
-		x := newBench(t, 2, 6, 3)
-		x.accuse("b0")
+		x := newFixture(t, 2, 6, 3)
+		x.addEvidence("b0")
 		x.run(50 * time.Millisecond)
 		x.accept(x.proposal(), 3)
-		x.run(holdFirst + 100*time.Millisecond)
+		x.run(minHoldOff + 100*time.Millisecond)
 		_, s := x.b.backends.At(x.b.backends.Position("b0"))
 		asserter.Equal(t, "mode", s.mode, modeTrial)
-		x.accuse("b0")
+		x.addEvidence("b0")
 		x.run(50 * time.Millisecond)
 		again := x.proposal()
 		asserter.True(t, "ejected again", again != nil)
 		e := again.Document.Ejections[0]
 		asserter.Equal(t, "strikes", e.Strikes, 2)
-		asserter.Equal(t, "hold-off", e.Until.Sub(e.Since), 2*holdFirst)
+		asserter.Equal(t, "hold-off", e.Until.Sub(e.Since), 2*minHoldOff)
 	})
 }
--- a/balancer/fail.go
+++ b/balancer/fail.go
@@ -7,31 +7,31 @@
 	"monsoonswitch/retrier"
 )
 
-// Failed takes in that an attempt ended without a whole answer.
+// Failed handles an attempt that ended without a complete answer.
 func (b *Balancer[E, D, P, L]) Failed(e descriptor.Failed) {
 	b.advance(e.At)
-	r, i, ok := b.open(e.Request, e.Attempt)
+	r, i, ok := b.openAttempt(e.Request, e.Attempt)
 	if !ok {
 		return
 	}
-	b.blame(r, i, e)
+	b.recordFailure(r, i, e)
 	a := r.attempts[i]
 	b.trace(r, descriptor.NoteAttemptFailed, a.id, a.backend, e.Fault.String(), 0)
 	b.release(r, i)
 	r = r.WithoutAttempt(i)
 	ran := e.Fault != descriptor.FaultConnect && e.Fault != descriptor.FaultShed && e.Fault != descriptor.FaultForeign
 	if ran {
-		r = r.WithUncertainty()
+		r = r.WithMayHaveRun()
 	} else {
-		r = r.WithoutRun()
+		r = r.WithNotRun()
 	}
 	b.requests.Put(r.id, r)
-	b.recover(r, a, e, ran)
-	b.pump()
+	b.continueAfterFailure(r, a, e, ran)
+	b.startQueued()
 }
 
-// recover decides how a request goes on after a failed attempt.
-func (b *Balancer[E, D, P, L]) recover(r request, a attempt, e descriptor.Failed, ran bool) {
+// continueAfterFailure decides how a request goes on after a failed attempt.
+func (b *Balancer[E, D, P, L]) continueAfterFailure(r request, a attempt, e descriptor.Failed, ran bool) {
 	if r.delivered == a.id {
 		b.refuse(r, descriptor.AnswerCut, descriptor.Ran, 0)
 		return
@@ -39,7 +39,7 @@
 	if r.count > 0 {
 		return
 	}
-	if e.Fault == descriptor.FaultSource || r.gone {
+	if e.Fault == descriptor.FaultSource || r.callerGone {
 		b.refuse(r, descriptor.Abandoned, r.outcome(), 0)
 		return
 	}
@@ -57,8 +57,8 @@
 	b.refuse(r, reason, r.outcome(), retryAfter)
 }
 
-// mayRetry tells whether a request may be sent to another backend server.
-// Non-idempotent work needs proof that it did not run.
+// mayRetry reports whether a request may be sent to another backend server.
+// Non-idempotent work may only if it is known not to have run.
 func (b *Balancer[E, D, P, L]) mayRetry(r request, e descriptor.Failed, ran bool) bool {
 	if b.exhausted(r) || b.backends.Len() <= int(r.last) {
 		return false
@@ -72,15 +72,15 @@
 	if e.Fault == descriptor.FaultConnect {
 		return true
 	}
-	return b.spend()
+	return b.spendRetry()
 }
 
-// exhausted tells whether a request was sent to as many backend servers as it may.
+// exhausted reports whether a request was sent to as many backend servers as allowed.
 func (b *Balancer[E, D, P, L]) exhausted(r request) bool {
-	return int(r.last) >= retrier.MaxTries || int(r.last)-r.unrun >= b.attemptLimit(r)
+	return int(r.last) >= retrier.MaxTries || int(r.last)-r.notRun >= b.attemptLimit(r)
 }
 
-// attemptLimit returns how many backend servers a request may be sent to.
+// attemptLimit returns how many attempts of a request may have run.
 func (b *Balancer[E, D, P, L]) attemptLimit(r request) int {
 	if n := b.classes[r.class].declared.Attempts; n > 0 {
 		return min(n, retrier.MaxAttempts)
@@ -88,19 +88,19 @@
 	return retrier.MaxAttempts
 }
 
-// spend takes one retry out of the budget.
-func (b *Balancer[E, D, P, L]) spend() bool {
+// spendRetry takes one retry from the budget and reports whether there was one.
+func (b *Balancer[E, D, P, L]) spendRetry() bool {
 	var ok bool
 	b.budget, ok = b.budget.WithRetry()
 	return ok
 }
 
-// resend gives up an answered attempt with a server error in favour of another
-// backend server, if the request may be sent again.
-func (b *Balancer[E, D, P, L]) resend(r request, i int) bool {
+// retryAfterError cancels an attempt that was answered with a server error and
+// retries the request if allowed. It reports whether the attempt was cancelled.
+func (b *Balancer[E, D, P, L]) retryAfterError(r request, i int) bool {
 	failed := descriptor.Failed{Fault: descriptor.FaultStatus}
 	if r.count > 1 {
-		b.cancel(r.WithUncertainty(), i)
+		b.cancel(r.WithMayHaveRun(), i)
 		return true
 	}
 	if !b.mayRetry(r, failed, true) {
@@ -108,18 +108,19 @@
 	}
 	b.emit(descriptor.Cancel{Request: r.id, Attempt: r.attempts[i].id})
 	b.release(r, i)
-	b.retry(r.WithoutAttempt(i).WithUncertainty())
-	b.pump()
+	b.retry(r.WithoutAttempt(i).WithMayHaveRun())
+	b.startQueued()
 	return true
 }
 
-// retry starts another attempt or waits for a backend server not yet tried.
+// retry starts another attempt, or queues the request until a backend server not yet
+// tried has a free slot.
 func (b *Balancer[E, D, P, L]) retry(r request) {
 	b.requests.Put(r.id, r)
 	if b.start(r) {
 		return
 	}
-	expires := b.now.Add(b.limiter.Patience(b.work(r.class)) / 2)
+	expires := b.now.Add(b.limiter.Patience(b.queueState(r.class)) / 2)
 	if !r.deadline.IsZero() && r.deadline.Before(expires) {
 		expires = r.deadline
 	}
@@ -128,8 +129,8 @@
 	b.retries = append(b.retries, r.id)
 }
 
-// blame takes a failed attempt as evidence about its backend server.
-func (b *Balancer[E, D, P, L]) blame(r request, i int, e descriptor.Failed) {
+// recordFailure uses a failed attempt as evidence about its backend server.
+func (b *Balancer[E, D, P, L]) recordFailure(r request, i int, e descriptor.Failed) {
 	a := r.attempts[i]
 	p := b.backends.Position(a.backend)
 	if p < 0 {
@@ -137,37 +138,37 @@
 	}
 	_, s := b.backends.At(p)
 	if e.Health == descriptor.HealthDraining {
-		s = b.drained(s)
+		s = b.markDraining(s)
 	}
 	switch e.Fault {
 	case descriptor.FaultConnect:
 		s = b.refusedConnection(s)
 	case descriptor.FaultForeign:
-		s = b.drained(s)
+		s = b.markDraining(s)
 	case descriptor.FaultShed:
 		s = b.shed(s, e)
 	case descriptor.FaultBroken:
-		s = b.broke(s, r, a)
+		s = b.recordBrokenConnection(s, r, a)
 	case descriptor.FaultCut, descriptor.FaultStatus:
 		s = b.observe(s, r.class, a, true)
 	}
-	b.place(p, s)
+	b.putBackend(p, s)
 }
 
-// shed handles work that a backend server refused. One that has room by its own
-// report is in doubt; another is full.
+// shed handles work that a backend server refused. A refusal with free slots by its
+// own report is a failure; otherwise the backend server is full.
 func (b *Balancer[E, D, P, L]) shed(s backend[E], e descriptor.Failed) backend[E] {
 	s = s.WithLoad(e.Load, e.At)
-	if b.options.Guests && !fullShed(e.Load) {
-		b.noteOutcome(s.listed.ID, true)
-		return s.WithOutcome(b.now, true, shedBase)
+	if b.options.Guests && !reportsFull(e.Load) {
+		b.queueOutcome(s.listed.ID, true)
+		return s.WithOutcome(b.now, true, shedFailureBase)
 	}
 	return s.WithShed()
 }
 
-// shedBase is the share of refusals taken as usual while a backend server has
-// room: one of them says less than a failure.
-const shedBase = 0.4
+// shedFailureBase is the share of refusals expected of a healthy backend server with
+// free slots. It makes a refusal weaker evidence than a failure.
+const shedFailureBase = 0.4
 
 func (b *Balancer[E, D, P, L]) refusedConnection(s backend[E]) backend[E] {
 	if s.mode == modeReady || s.mode == modeTrial {
@@ -177,30 +178,31 @@
 	return s
 }
 
-// broke handles a connection that broke before an answer: the request may have
-// brought the backend server down. All connections that break together count
-// as one failure, and none if the request did the same elsewhere before.
-func (b *Balancer[E, D, P, L]) broke(s backend[E], r request, a attempt) backend[E] {
-	fresh := b.now.Sub(s.brokenAt) > crashWindow || b.now.Before(s.soundUntil)
-	known := b.crashedElsewhere(r.fingerprint, a.backend)
+// recordBrokenConnection handles a connection that broke before an answer, possibly
+// because the request crashed the backend server. Connections that break together
+// count as one failure. None is counted if the request broke connections of another
+// backend server before.
+func (b *Balancer[E, D, P, L]) recordBrokenConnection(s backend[E], r request, a attempt) backend[E] {
+	newBreakdown := b.now.Sub(s.breakdownAt) > crashWindow || b.now.Before(s.verifiedUpUntil)
+	knownCrasher := b.crashedElsewhere(r.fingerprint, a.backend)
 	b.recordCrash(r.fingerprint, a.backend)
-	if fresh {
+	if newBreakdown {
 		b.emit(descriptor.Probe{Service: b.service.Name, Backend: s.listed, Suspected: true})
 	}
-	if fresh && !known {
+	if newBreakdown && !knownCrasher {
 		s = b.observe(s, r.class, a, true)
 	}
-	if fresh {
-		s.brokenAt = b.now
+	if newBreakdown {
+		s.breakdownAt = b.now
 	}
 	return s
 }
 
-// soundTime is how long after a probe each broken connection of a backend server
-// counts by itself: it breaks connections without breaking down.
-const soundTime = 10 * time.Second
+// verifiedUpTime is how long after a successful probe each broken connection counts
+// separately, because the backend server breaks connections without crashing.
+const verifiedUpTime = 10 * time.Second
 
-// Probed takes in whether a backend server accepts connections.
+// Probed handles the result of a probe of a backend server.
 func (b *Balancer[E, D, P, L]) Probed(e descriptor.Probed) {
 	b.advance(e.At)
 	p := b.backends.Position(e.Backend)
@@ -213,8 +215,8 @@
 		s = s.WithUp(e.At)
 		b.note(descriptor.NoteUp, e.Backend, "accepts connections")
 	case e.Alive && e.Suspected:
-		b.absolve(e.Backend)
-		s.soundUntil = e.At.Add(soundTime)
+		b.withdrawCrashes(e.Backend)
+		s.verifiedUpUntil = e.At.Add(verifiedUpTime)
 	case e.Alive:
 	default:
 		if s.mode != modeDown {
@@ -222,6 +224,6 @@
 		}
 		s = s.WithDown(e.At)
 	}
-	b.place(p, s)
-	b.pump()
+	b.putBackend(p, s)
+	b.startQueued()
 }
--- a/balancer/list.go
+++ b/balancer/list.go
@@ -8,24 +8,24 @@
 	"monsoonswitch/descriptor"
 )
 
-// List puts a list of backend servers in force. Those that are no longer listed
-// finish what they run. Until mayReturn they count as listed: after an outage of
-// the store, entries that lapsed meanwhile take a while to come back.
+// List applies a list of backend servers. Those no longer listed finish their work.
+// Until mayReturn they count as listed, because entries that expired during an outage
+// of the store take a while to be renewed.
 func (b *Balancer[E, D, P, L]) List(now time.Time, list []descriptor.Backend, mayReturn time.Time) {
 	b.advance(now)
 	present := make(map[string]bool, len(list))
 	for _, listed := range list {
 		present[listed.ID] = true
-		b.enlist(listed)
+		b.addListed(listed)
 	}
 	b.listed = true
 	for _, id := range b.backendIDs() {
 		if !present[id] {
-			b.miss(id, mayReturn)
+			b.handleMissing(id, mayReturn)
 		}
 	}
 	b.refresh()
-	b.pump()
+	b.startQueued()
 }
 
 func (b *Balancer[E, D, P, L]) backendIDs() []string {
@@ -36,7 +36,7 @@
 	return ids
 }
 
-func (b *Balancer[E, D, P, L]) enlist(listed descriptor.Backend) {
+func (b *Balancer[E, D, P, L]) addListed(listed descriptor.Backend) {
 	s, ok := b.backends.Get(listed.ID)
 	if !ok {
 		s = newBackend[E](listed, b.now, b.listed)
@@ -45,8 +45,8 @@
 			s.coldUntil = b.now.Add(coldTime)
 		}
 	}
-	listed = b.stillLeaving(listed)
-	s.lostUntil = time.Time{}
+	listed = b.withKnownLeaving(listed)
+	s.mayReturnUntil = time.Time{}
 	s = s.WithListed(listed).WithShare(b.shareOf(listed))
 	if listed.Leaving {
 		s = s.WithMode(modeLeaving)
@@ -54,40 +54,41 @@
 	b.backends.Put(listed.ID, s)
 }
 
-// stillLeaving returns the entry of a backend server that keeps on leaving: a
-// delayed entry may say that it does not, but no incarnation stays.
-func (b *Balancer[E, D, P, L]) stillLeaving(listed descriptor.Backend) descriptor.Backend {
+// withKnownLeaving returns an entry marked as leaving if its incarnation was ever
+// listed so. A delayed entry may not show it, but an incarnation that leaves never
+// returns.
+func (b *Balancer[E, D, P, L]) withKnownLeaving(listed descriptor.Backend) descriptor.Backend {
 	if !b.options.Guests {
 		return listed
 	}
 	if listed.Leaving {
-		b.departed.Put(listed.ID, true)
+		b.knownLeaving.Put(listed.ID, true)
 	}
-	left, _ := b.departed.Get(listed.ID)
-	listed.Leaving = left
+	leaving, _ := b.knownLeaving.Get(listed.ID)
+	listed.Leaving = leaving
 	return listed
 }
 
-// miss takes in that a backend server is not listed.
-func (b *Balancer[E, D, P, L]) miss(id string, mayReturn time.Time) {
+// handleMissing handles a backend server that is no longer listed.
+func (b *Balancer[E, D, P, L]) handleMissing(id string, mayReturn time.Time) {
 	s, _ := b.backends.Get(id)
 	if s.listed.Leaving || !b.now.Before(mayReturn) {
 		b.delist(id)
 		return
 	}
-	s.lostUntil = mayReturn
+	s.mayReturnUntil = mayReturn
 	b.backends.Put(id, s)
 }
 
-// dropLost gives up the backend servers that did not come back.
-func (b *Balancer[E, D, P, L]) dropLost() {
-	var gone []string
+// dropMissing removes the backend servers that were not listed again in time.
+func (b *Balancer[E, D, P, L]) dropMissing() {
+	var missing []string
 	for id, s := range b.backends.All {
-		if !s.lostUntil.IsZero() && !b.now.Before(s.lostUntil) {
-			gone = append(gone, id)
+		if !s.mayReturnUntil.IsZero() && !b.now.Before(s.mayReturnUntil) {
+			missing = append(missing, id)
 		}
 	}
-	for _, id := range gone {
+	for _, id := range missing {
 		b.delist(id)
 	}
 }
@@ -103,50 +104,50 @@
 	b.backends.Put(id, s.WithListed(listed).WithMode(modeLeaving))
 }
 
-// isListed tells whether the platform still names a backend server.
+// isListed reports whether the platform still lists a backend server.
 func (b *Balancer[E, D, P, L]) isListed(id string) bool {
 	s, ok := b.backends.Get(id)
 	return ok && !s.listed.Leaving
 }
 
-// remove forgets a backend server. Positions change, so the sets are rebuilt.
+// remove deletes a backend server. Positions change, so the sets are rebuilt.
 func (b *Balancer[E, D, P, L]) remove(id string) {
 	b.backends.Delete(id)
 	b.refresh()
 }
 
-// guestShare is the number of slots that an instance uses of which it has no part:
-// the queues of backend servers have room for a few requests more.
-const guestShare = 1
+// nonOwnerShare is the number of slots that a non-owner may use at each backend
+// server, whose queue has room for a few more requests.
+const nonOwnerShare = 1
 
 func (b *Balancer[E, D, P, L]) shareOf(listed descriptor.Backend) int {
 	if b.options.Guests && b.position < 0 {
-		return guestShare
+		return nonOwnerShare
 	}
 	return allocator.Share(listed.Slots, len(b.serving), b.position, listed.ID)
 }
 
-// Serve puts the instances that serve the service in force.
+// Serve sets the owners of the service's slots.
 func (b *Balancer[E, D, P, L]) Serve(now time.Time, serving []descriptor.Member) {
 	b.advance(now)
 	position := positionOf(serving, b.options.Self)
 	if position < 0 && b.position >= 0 && !b.options.Guests {
-		if b.fadeUntil.IsZero() {
-			b.fadeUntil = now.Add(fadeTime)
+		if b.shareRetainedUntil.IsZero() {
+			b.shareRetainedUntil = now.Add(shareRetention)
 		}
 		return
 	}
-	b.fadeUntil = time.Time{}
+	b.shareRetainedUntil = time.Time{}
 	b.serving = serving
 	b.position = position
 	b.terms = b.options.terms(len(serving), position)
-	b.reshare()
-	b.pump()
+	b.recomputeShares()
+	b.startQueued()
 }
 
-// fadeTime is how long an instance that is no longer chosen goes on: as long as
-// it may take until the others know.
-const fadeTime = 2 * time.Second
+// shareRetention is how long a former owner keeps its share. The other instances may
+// need that long to learn of the change.
+const shareRetention = 2 * time.Second
 
 func positionOf(serving []descriptor.Member, id string) int {
 	for i, m := range serving {
@@ -157,19 +158,20 @@
 	return -1
 }
 
-// fade ends the part of an instance that is no longer chosen.
-func (b *Balancer[E, D, P, L]) fade() {
-	if b.fadeUntil.IsZero() || b.now.Before(b.fadeUntil) {
+// dropRetainedShare gives up the share of a former owner when its time is over.
+func (b *Balancer[E, D, P, L]) dropRetainedShare() {
+	if b.shareRetainedUntil.IsZero() || b.now.Before(b.shareRetainedUntil) {
 		return
 	}
-	b.fadeUntil = time.Time{}
+	b.shareRetainedUntil = time.Time{}
 	b.position = -1
-	b.reshare()
-	b.dismiss()
+	b.recomputeShares()
+	b.refuseQueued()
 }
 
-// reshare gives every backend server this instance's part of its slots.
-func (b *Balancer[E, D, P, L]) reshare() {
+// recomputeShares assigns this instance its share of the slots of every backend
+// server.
+func (b *Balancer[E, D, P, L]) recomputeShares() {
 	for i := range b.backends.Len() {
 		_, s := b.backends.At(i)
 		b.backends.SetAt(i, s.WithShare(b.shareOf(s.listed)))
@@ -178,14 +180,14 @@
 	b.refresh()
 }
 
-// Serves tells whether this instance serves the service.
+// Serves reports whether this instance is an owner.
 func (b *Balancer[E, D, P, L]) Serves() bool { return b.position >= 0 }
 
-// Serving returns the instances that serve the service.
+// Serving returns the owners of the service's slots.
 func (b *Balancer[E, D, P, L]) Serving() []descriptor.Member { return b.serving }
 
-// dismiss refuses all queued requests: other instances serve them now.
-func (b *Balancer[E, D, P, L]) dismiss() {
+// refuseQueued refuses all queued requests, because other instances serve them now.
+func (b *Balancer[E, D, P, L]) refuseQueued() {
 	for _, r := range b.queuedRequests() {
 		b.refuse(r, descriptor.Misdirected, r.outcome(), 0)
 	}
@@ -202,25 +204,24 @@
 	return result
 }
 
-// refresh brings everything that depends on the present time or on positions
-// into step.
+// refresh recomputes everything that depends on the current time or on positions.
 func (b *Balancer[E, D, P, L]) refresh() {
 	b.preferred.Clear()
-	b.wary.Clear()
+	b.lastResort.Clear()
 	b.slots = 0
-	b.trusted = 0
+	b.unsuspected = 0
 	for i := range b.backends.Len() {
 		_, s := b.backends.At(i)
 		b.slots += b.limit(s)
 		if s.mode == modeReady && !s.avoided && s.share > 0 {
-			b.trusted++
+			b.unsuspected++
 		}
-		b.place(i, s)
+		b.putBackend(i, s)
 	}
 }
 
-// tell sends a message to the other serving instances.
-func (b *Balancer[E, D, P, L]) tell(m descriptor.Message) {
+// sendToServing sends a message to the other owners.
+func (b *Balancer[E, D, P, L]) sendToServing(m descriptor.Message) {
 	for _, p := range b.serving {
 		if p.ID != b.options.Self {
 			b.emit(descriptor.Send{To: p, Message: m})
@@ -228,7 +229,7 @@
 	}
 }
 
-// HearDrain takes in a drain announced to another serving instance.
+// HearDrain handles a drain that was announced to another owner.
 func (b *Balancer[E, D, P, L]) HearDrain(now time.Time, m descriptor.Drain) {
 	b.advance(now)
 	p := b.backends.Position(m.Backend)
@@ -236,12 +237,12 @@
 		return
 	}
 	_, s := b.backends.At(p)
-	b.place(p, s.WithDrain(b.now))
+	b.putBackend(p, s.WithDrain(b.now))
 }
 
-func count(n int) string { return strconv.Itoa(n) }
+func itoa(n int) string { return strconv.Itoa(n) }
 
-// Avoids tells whether a backend server gets no work as long as others can.
+// Avoids reports whether a backend server gets no work while others can take it.
 func (b *Balancer[E, D, P, L]) Avoids(id string) bool {
 	s, ok := b.backends.Get(id)
 	return !ok || s.avoided || s.mode != modeReady
--- a/balancer/outcome.go
+++ b/balancer/outcome.go
@@ -8,30 +8,34 @@
 	"monsoonswitch/detector"
 )
 
-// outcomesEvery is the time between messages about work that went well; failures
-// are told at once.
+// outcomesInterval is the time between messages about successful work. Failures are
+// sent at once.
 const (
-	outcomesEvery = 300 * time.Millisecond
-	// crowdedEvery is that time while most slots are in use: what one instance
-	// hears of the load of a backend server, the others have to know then.
-	crowdedEvery = 100 * time.Millisecond
-	// crowdedLoad is the part of the slots in use from which it is so.
-	crowdedLoad = 0.6
+	outcomesInterval = 300 * time.Millisecond
+	// crowdedOutcomesInterval replaces it while most slots are in use or requests end
+	// without an answer. The other owners then need the load reported to one instance
+	// sooner.
+	crowdedOutcomesInterval = 100 * time.Millisecond
+	// crowdedThreshold is the part of the slots in use above which a service is
+	// crowded.
+	crowdedThreshold = 0.6
 )
 
-// noteOutcome remembers how a request ended for the other instances, and tells them
-// at once of a failure: until they know, they send work to the same place.
-func (b *Balancer[E, D, P, L]) noteOutcome(id string, failed bool) {
-	o, _ := b.untold.Get(id)
+// queueOutcome records how a request ended, to be sent to the other instances. A
+// failure is sent at once, because they send work to the same backend server until
+// they receive it.
+func (b *Balancer[E, D, P, L]) queueOutcome(id string, failed bool) {
+	o, _ := b.unsentOutcomes.Get(id)
 	o.Backend = id
-	b.untold.Put(id, o.WithOutcome(failed))
+	b.unsentOutcomes.Put(id, o.WithOutcome(failed))
 	if failed {
-		b.tellOutcomes()
+		b.publishOutcomes()
 	}
 }
 
-// unserved tells whether a request that ended for a reason was to be served.
-func unserved(reason descriptor.Reason) bool {
+// countsAsUnserved reports whether a request that ended for a reason should have been
+// served.
+func countsAsUnserved(reason descriptor.Reason) bool {
 	switch reason {
 	case descriptor.Served, descriptor.Abandoned, descriptor.Poisoned:
 		return false
@@ -39,59 +43,61 @@
 	return true
 }
 
-// noteUnserved counts a request that ended without an answer: connections that
-// break together count once against their backend server, but each request does
-// in the share that fails.
-func (b *Balancer[E, D, P, L]) noteUnserved() {
-	b.recent = b.recent.WithOutcome(b.now, true)
-	b.unserved++
+// recordUnserved counts a request that ended without an answer. Connections that
+// break together are one failure of their backend server, but each request counts in
+// the share of failures.
+func (b *Balancer[E, D, P, L]) recordUnserved() {
+	b.recentOutcomes = b.recentOutcomes.WithOutcome(b.now, true)
+	b.unsentUnserved++
 }
 
-// noteLate remembers for the other instances that a request runs far too long.
-func (b *Balancer[E, D, P, L]) noteLate(id string) {
-	o, _ := b.untold.Get(id)
+// queueLateOutcome records that a request runs far too long, to be sent to the other
+// instances.
+func (b *Balancer[E, D, P, L]) queueLateOutcome(id string) {
+	o, _ := b.unsentOutcomes.Get(id)
 	o.Backend = id
 	o.Late++
-	b.untold.Put(id, o)
+	b.unsentOutcomes.Put(id, o)
 }
 
-// tellOutcomes tells the instances that share the slots how work ended here.
-func (b *Balancer[E, D, P, L]) tellOutcomes() {
-	if b.untold.Len() == 0 && b.unserved == 0 {
+// publishOutcomes sends the outcomes of this instance to the other owners. A
+// non-owner sends them to one owner, which relays them.
+func (b *Balancer[E, D, P, L]) publishOutcomes() {
+	if b.unsentOutcomes.Len() == 0 && b.unsentUnserved == 0 {
 		return
 	}
 	var list []descriptor.BackendOutcomes
-	wait := outcomesEvery
-	if b.crowded || b.unserved > 0 {
-		wait = crowdedEvery
+	wait := outcomesInterval
+	if b.crowded || b.unsentUnserved > 0 {
+		wait = crowdedOutcomesInterval
 	}
-	urgent := b.now.Sub(b.toldAt) >= wait
-	for _, o := range b.untold.All {
+	urgent := b.now.Sub(b.outcomesSentAt) >= wait
+	for _, o := range b.unsentOutcomes.All {
 		list = append(list, b.withReport(o))
 		urgent = urgent || o.Bad+o.Late > 0
 	}
 	if !urgent {
 		return
 	}
-	b.toldAt = b.now
+	b.outcomesSentAt = b.now
 	for _, o := range list {
-		b.untold.Delete(o.Backend)
+		b.unsentOutcomes.Delete(o.Backend)
 	}
-	m := descriptor.Outcomes{Service: b.service.Name, List: list, Unserved: b.unserved}
-	b.unserved = 0
+	m := descriptor.Outcomes{Service: b.service.Name, List: list, Unserved: b.unsentUnserved}
+	b.unsentUnserved = 0
 	if b.position >= 0 {
-		b.tell(m)
+		b.sendToServing(m)
 		return
 	}
 	if len(b.serving) > 0 {
 		m.Relay = true
-		b.emit(descriptor.Send{To: b.confidant(), Message: m})
+		b.emit(descriptor.Send{To: b.relayInstance(), Message: m})
 	}
 }
 
-// confidant returns the instance that a guest tells how work ended: always the
-// same one, which passes it on, so that a guest needs one link.
-func (b *Balancer[E, D, P, L]) confidant() descriptor.Member {
+// relayInstance returns the owner to which a non-owner sends its outcomes. It stays
+// the same while the owners do, so that a non-owner needs only one link.
+func (b *Balancer[E, D, P, L]) relayInstance() descriptor.Member {
 	n := len(b.serving)
 	first := int(allocator.Weight(b.service.Name, b.options.Self) % uint64(n))
 	for k := range n {
@@ -102,105 +108,106 @@
 	return b.serving[first]
 }
 
-// bulletinDoubt is the probability of being gray from which a backend server is
-// told of in bulletins.
-const bulletinDoubt = 0.25
+// suspicionThreshold is the probability of being gray from which a backend server is
+// included in suspicion lists.
+const suspicionThreshold = 0.25
 
-// Doubts returns the backend servers in doubt.
+// Doubts returns the suspected backend servers.
 func (b *Balancer[E, D, P, L]) Doubts(now time.Time) []descriptor.Doubt {
 	var list []descriptor.Doubt
 	for id, s := range b.backends.All {
-		if gray := s.belief.WithTime(now).Gray; gray >= bulletinDoubt {
+		if gray := s.estimate.WithTime(now).Gray; gray >= suspicionThreshold {
 			list = append(list, descriptor.Doubt{Backend: id, Gray: float32(gray)})
 		}
 	}
 	return list
 }
 
-// HearBulletin takes over what the instances that share the slots have in doubt.
-// One of these knows better itself, unless it just began.
+// HearBulletin applies the suspicion list of the owners. An owner applies
+// only the first one after its start, because its own estimates are more recent then.
 func (b *Balancer[E, D, P, L]) HearBulletin(now time.Time, m descriptor.Bulletin) {
 	b.advance(now)
-	if b.position >= 0 && b.heardAll {
+	if b.position >= 0 && b.suspicionsReceived {
 		return
 	}
-	b.heardAll = true
-	doubts := make(map[string]float64, len(m.List))
+	b.suspicionsReceived = true
+	suspected := make(map[string]float64, len(m.List))
 	for _, d := range m.List {
-		doubts[d.Backend] = float64(d.Gray)
+		suspected[d.Backend] = float64(d.Gray)
 	}
 	for i := range b.backends.Len() {
 		id, s := b.backends.At(i)
-		gray, ok := doubts[id]
+		gray, ok := suspected[id]
 		if !ok {
 			gray = detector.SoundGray
 		}
-		s.belief = detector.Belief{Gray: min(1, max(0, gray)), At: now}
-		b.place(i, s)
+		s.estimate = detector.Belief{Gray: min(1, max(0, gray)), At: now}
+		b.putBackend(i, s)
 	}
 }
 
-// passOn remembers the outcomes at a guest for the other instances.
-func (b *Balancer[E, D, P, L]) passOn(o descriptor.BackendOutcomes) {
-	mine, ok := b.untold.Get(o.Backend)
+// queueRelayed records the outcomes of a non-owner, to be sent to the other owners.
+func (b *Balancer[E, D, P, L]) queueRelayed(o descriptor.BackendOutcomes) {
+	queued, ok := b.unsentOutcomes.Get(o.Backend)
 	if !ok {
-		mine.Backend = o.Backend
+		queued.Backend = o.Backend
 	}
-	b.untold.Put(o.Backend, mine.WithOutcomes(o))
+	b.unsentOutcomes.Put(o.Backend, queued.WithOutcomes(o))
 }
 
-// withReport returns o with what its backend server said here of its work.
+// withReport returns o with the load that its backend server last reported to this
+// instance, if that is recent.
 func (b *Balancer[E, D, P, L]) withReport(o descriptor.BackendOutcomes) descriptor.BackendOutcomes {
 	s, ok := b.backends.Get(o.Backend)
 	age := b.now.Sub(s.reportedAt)
-	if !ok || age >= othersTime {
+	if !ok || age >= otherWorkLifetime {
 		return o
 	}
 	o.Reported = true
-	o.Work = s.others + s.inFlight
+	o.Work = s.otherWork + s.inFlight
 	o.Age = int(age.Milliseconds())
 	return o
 }
 
-// watchLoad finds out how much work other instances have at a backend server in
-// use: what is not known of one is taken to be so.
-func (b *Balancer[E, D, P, L]) watchLoad() {
+// updateOtherWork computes the mean number of requests that other instances have at a
+// backend server in use. It stands in for backend servers without a recent report.
+func (b *Balancer[E, D, P, L]) updateOtherWork() {
 	if !b.options.Guests {
 		return
 	}
 	sum, n := 0.0, 0
 	for _, s := range b.backends.All {
-		if s.mode == modeReady && b.now.Sub(s.othersAt) < othersTime {
-			sum += float64(s.others)
+		if s.mode == modeReady && b.now.Sub(s.otherWorkAt) < otherWorkLifetime {
+			sum += float64(s.otherWork)
 			n++
 		}
 	}
-	usual := sum / float64(max(1, n))
-	busy, slots := 0.0, 0
+	typical := sum / float64(max(1, n))
+	requests, slots := 0.0, 0
 	for i := range b.backends.Len() {
 		_, s := b.backends.At(i)
-		s = s.WithUsual(usual)
+		s = s.WithTypicalOtherWork(typical)
 		b.backends.SetAt(i, s)
-		if s.mode == modeReady && b.inUse(s, idleTime) {
-			busy += s.load(b.now) * float64(s.listed.Slots)
+		if s.mode == modeReady && b.inUse(s, idleThreshold) {
+			requests += s.load(b.now) * float64(s.listed.Slots)
 			slots += s.listed.Slots
 		}
 	}
-	b.crowded = busy > crowdedLoad*float64(slots)
+	b.crowded = requests > crowdedThreshold*float64(slots)
 }
 
-// maxOutcomes bounds the outcomes of one kind taken from one message: more of
-// them change the belief no further.
+// maxOutcomes bounds the outcomes of one kind used from one message. More of them
+// would hardly change the estimate.
 const maxOutcomes = 8
 
-// HearOutcomes takes in how work ended at other instances.
+// HearOutcomes applies outcomes reported by another instance.
 func (b *Balancer[E, D, P, L]) HearOutcomes(now time.Time, m descriptor.Outcomes) {
 	b.advance(now)
 	for range min(m.Unserved, maxOutcomes) {
-		b.recent = b.recent.WithOutcome(now, true)
+		b.recentOutcomes = b.recentOutcomes.WithOutcome(now, true)
 	}
 	if m.Relay {
-		b.unserved += max(0, m.Unserved)
+		b.unsentUnserved += max(0, m.Unserved)
 	}
 	for _, o := range m.List {
 		p := b.backends.Position(o.Backend)
@@ -208,7 +215,7 @@
 			continue
 		}
 		_, s := b.backends.At(p)
-		s = s.WithUse(now.Add(-outcomesEvery - defaultTypical))
+		s = s.WithUse(now.Add(-outcomesInterval - defaultServiceTime))
 		if o.Reported && o.Age >= 0 {
 			s = s.WithWork(o.Work, now.Add(-time.Duration(o.Age)*time.Millisecond))
 		}
@@ -216,18 +223,18 @@
 			count  int
 			failed bool
 			base   float64
-		}{{o.Before, false, 0}, {o.Bad, true, 0}, {o.Late, true, lateBase}, {o.After, false, 0}} {
+		}{{o.Before, false, 0}, {o.Bad, true, 0}, {o.Late, true, lateFailureBase}, {o.After, false, 0}} {
 			for range min(part.count, maxOutcomes) {
 				s = s.WithOutcome(now, part.failed, part.base)
-				b.recent = b.recent.WithOutcome(now, part.failed)
+				b.recentOutcomes = b.recentOutcomes.WithOutcome(now, part.failed)
 			}
 		}
 		if m.Relay {
-			b.passOn(o)
+			b.queueRelayed(o)
 		}
-		b.place(p, s)
+		b.putBackend(p, s)
 	}
 	if m.Relay {
-		b.tellOutcomes()
+		b.publishOutcomes()
 	}
 }
--- a/balancer/place.go
+++ b/balancer/place.go
@@ -7,40 +7,45 @@
 	"monsoonswitch/picker"
 )
 
-// Parameters of the placement where the slots are not divided among instances.
+// Parameters of placement when the slots are not divided among instances. Bonuses are
+// added to the score of a candidate, in units of the probability of serving the
+// request.
 const (
-	// soundTrust is the trust from which a backend server gets any work.
-	soundTrust = 0.55
-	// holdPart is the part of the time that it has to spare for which work waits for
-	// a backend server with that trust.
-	holdPart = 0.5
-	// nearBonus is what a backend server of the same failure domain is worth, and
-	// nearByteBonus that for each byte of a body, up to nearMost: bytes between
-	// domains cost, and an upload of 60 kB as much as a fifth of what it is worth.
-	nearBonus     = 0.03
-	nearByteBonus = 0.2 / 60e3
-	nearMost      = 0.2
-	// warmBonus is what a backend server is worth to which a connection is open,
-	// and warmTime how long after work there one can be used for any work.
-	warmBonus = 0.02
-	warmTime  = 4 * time.Second
-	// retryCost is what a failure costs work that is sent again, as a part of what
-	// it costs other work.
+	// healthyThreshold is the probability of serving a request from which a backend
+	// server gets any work.
+	healthyThreshold = 0.55
+	// healthyWaitRatio is the part of its spare time, target minus typical service
+	// time, that a request waits for a backend server at healthyThreshold.
+	healthyWaitRatio = 0.5
+	// localBonus adds to the score of a backend server in the same failure domain,
+	// and localBonusPerByte adds more for each byte of the body, up to maxLocalBonus.
+	// Bytes sent between failure domains have a cost: for an upload of 60 kB it is a
+	// fifth of the value of the request.
+	localBonus        = 0.03
+	localBonusPerByte = 0.2 / 60e3
+	maxLocalBonus     = 0.2
+	// reuseBonus adds to the score of a backend server to which a connection is open.
+	// A connection counts as open for reuseTime after work was sent there.
+	reuseBonus = 0.02
+	reuseTime  = 4 * time.Second
+	// retryCost is the cost of a failure of work that can be retried, as a part of
+	// the cost of a failure of other work.
 	retryCost = 0.35
-	// canaryEvery is the number of idempotent requests of which one asks the
-	// backend server that was not heard of for longest, if it is in doubt.
-	canaryEvery = 16
-	// guestCanaryEvery is that number at guests, which have few requests but hear
-	// from nobody else what became of a doubt.
-	guestCanaryEvery = 3
-	// canaryBudget is the least budget for retries that a canary leaves.
-	canaryBudget = 2
+	// requestsPerCanary is the mean number of idempotent requests of which one goes
+	// to the suspected backend server with the oldest estimate.
+	requestsPerCanary = 16
+	// nonOwnerRequestsPerCanary is that number at non-owners, which have few requests
+	// and get no outcomes from other instances that would clear a suspicion.
+	nonOwnerRequestsPerCanary = 3
+	// minCanaryBudget is the retry budget below which an owner sends no canary and
+	// counts a failure of idempotent work in full. Non-owners send canaries from 1 on.
+	minCanaryBudget = 2
 )
 
-// pickOpen returns the position of a backend server for r by pooled trust and
-// estimated load, or -1 if r is to wait. Work that may not run twice waits a
-// while for a sound backend server rather than go to one in doubt.
-func (b *Balancer[E, D, P, L]) pickOpen(r request) int {
+// pickPooled returns the position of a backend server for r by pooled estimates and
+// load, or -1 if r is to wait. Non-idempotent work waits a while for a healthy
+// backend server before it goes to a suspected one.
+func (b *Balancer[E, D, P, L]) pickPooled(r request) int {
 	positions := b.untried(r)
 	if len(positions) == 0 {
 		return -1
@@ -49,17 +54,17 @@
 		return p
 	}
 	b.turn++
-	at := func(i int) picker.Candidate { return b.openCandidate(r, positions[i]) }
+	at := func(i int) picker.Candidate { return b.pooledCandidate(r, positions[i]) }
 	best := positions[b.picker.Pick(len(positions), at, b.turn, b.random)]
 	_, s := b.backends.At(best)
-	if trust := s.belief.Trust(b.now); trust < soundTrust && b.spreadTo(r, s) == 0 && b.waits(r) {
+	if probability := s.estimate.Trust(b.now); probability < healthyThreshold && b.spreadBonusFor(r, s) == 0 && b.shouldWait(r) {
 		return -1
 	}
 	return best
 }
 
-// untried returns the positions of the free backend servers that r was not sent
-// to, those that are not avoided first.
+// untried returns the positions of the backend servers with a free slot that r was
+// not sent to. Those that are avoided are returned only if there are no others.
 func (b *Balancer[E, D, P, L]) untried(r request) []int {
 	b.scratch = b.scratch[:0]
 	for _, set := range b.freeSets() {
@@ -76,96 +81,96 @@
 	return nil
 }
 
-func (b *Balancer[E, D, P, L]) openCandidate(r request, position int) picker.Candidate {
+func (b *Balancer[E, D, P, L]) pooledCandidate(r request, position int) picker.Candidate {
 	_, s := b.backends.At(position)
 	c := picker.Candidate{
 		Position: position,
 		InFlight: s.inFlight,
 		Share:    s.listed.Slots,
-		Trust:    b.trustFor(r, s),
+		Trust:    b.serveProbability(r, s),
 		Load:     s.load(b.now),
-		Wait:     b.waitPart(r, s),
+		Wait:     b.waitRatio(r, s),
 	}
 	if s.listed.Domain == b.options.Domain {
-		c.Bonus = r.nearBonus()
+		c.Bonus = r.localBonus()
 	}
-	if b.now.Sub(s.startedAt) < warmTime {
-		c.Bonus += warmBonus
+	if b.now.Sub(s.lastSentAt) < reuseTime {
+		c.Bonus += reuseBonus
 	}
-	c.Bonus += b.spreadTo(r, s)
+	c.Bonus += b.spreadBonusFor(r, s)
 	return c
 }
 
-// nearBonus returns what a backend server of the same failure domain is worth to r.
-// A body of unknown size counts as a large one.
-func (r request) nearBonus() float64 {
+// localBonus returns what the same failure domain adds to the score of a backend
+// server for r. A body of unknown size counts as a large one.
+func (r request) localBonus() float64 {
 	if r.size < 0 {
-		return nearMost
+		return maxLocalBonus
 	}
-	return min(nearMost, nearBonus+nearByteBonus*float64(r.size))
+	return min(maxLocalBonus, localBonus+localBonusPerByte*float64(r.size))
 }
 
-// trustFor returns the probability that r is served if it goes to a backend server
-// first. A failure of work that may be sent again costs little but a retry.
-func (b *Balancer[E, D, P, L]) trustFor(r request, s backend[E]) float64 {
-	trust := s.belief.Trust(b.now)
-	if !b.repeatable(r) || b.budget.Left < canaryBudget || int(r.last)-r.unrun+1 >= b.attemptLimit(r) {
-		return trust
-	}
-	return 1 - retryCost*(1-trust)
+// serveProbability returns the probability that r is served if it goes to s first. A
+// failure of work that can be retried counts only retryCost.
+func (b *Balancer[E, D, P, L]) serveProbability(r request, s backend[E]) float64 {
+	probability := s.estimate.Trust(b.now)
+	if !b.repeatable(r) || b.budget.Left < minCanaryBudget || int(r.last)-r.notRun+1 >= b.attemptLimit(r) {
+		return probability
+	}
+	return 1 - retryCost*(1-probability)
 }
 
-// waitPart estimates for which part of the time that r has to spare it would wait
-// at a backend server. Within this instance's own part of the slots it does not.
-func (b *Balancer[E, D, P, L]) waitPart(r request, s backend[E]) float64 {
+// waitRatio estimates how long r would wait at s, as a part of its spare time. Within
+// the share of this instance there is no wait.
+func (b *Balancer[E, D, P, L]) waitRatio(r request, s backend[E]) float64 {
 	if s.inFlight < s.share {
 		return 0
 	}
-	typical := b.references[r.class].Quantile(0.5, defaultTypical)
+	typical := b.references[r.class].Quantile(0.5, defaultServiceTime)
 	spare := max(b.classes[r.class].declared.Target-typical, typical/2)
 	ahead := s.load(b.now) + 1/float64(s.listed.Slots) - 1
 	if ahead <= 0 {
-		// A slot that looks free may be taken by the instance whose part it is.
-		ahead = foreignSlot
+		// The owner of a slot that looks free may have taken it already.
+		ahead = foreignSlotWait
 	}
 	return ahead * float64(typical) / float64(spare)
 }
 
 const (
-	// defaultTypical stands in for the usual service time while it is not known.
-	defaultTypical = 200 * time.Millisecond
-	// foreignSlot is the expected wait for a free slot that belongs to the part
-	// of another instance, in service times.
-	foreignSlot = 0.12
+	// defaultServiceTime is used while the typical service time is not known.
+	defaultServiceTime = 200 * time.Millisecond
+	// foreignSlotWait is the expected wait, in service times, for a free slot in the
+	// share of another instance.
+	foreignSlotWait = 0.12
 )
 
-// waits tells whether r waits rather than go to a backend server in doubt: for
-// part of its patience, if there is any sound one.
-func (b *Balancer[E, D, P, L]) waits(r request) bool {
-	if r.unrun > 0 {
-		// It cost nothing to ask and may cost nothing again.
+// shouldWait reports whether r waits instead of going to a suspected backend server.
+// It does for part of its spare time if any backend server is healthy.
+func (b *Balancer[E, D, P, L]) shouldWait(r request) bool {
+	if r.notRun > 0 {
+		// An attempt that did not run cost nothing, so the next one starts at once.
 		return false
 	}
 	declared := b.classes[r.class].declared
 	spare := declared.Target - b.references[r.class].Quantile(0.5, declared.Target/2)
-	if float64(b.now.Sub(r.arrived)) > holdPart*float64(spare) {
+	if float64(b.now.Sub(r.arrived)) > healthyWaitRatio*float64(spare) {
 		return false
 	}
 	for _, s := range b.backends.All {
-		if s.mode == modeReady && !s.avoided && s.belief.Trust(b.now) >= soundTrust {
+		if s.mode == modeReady && !s.avoided && s.estimate.Trust(b.now) >= healthyThreshold {
 			return true
 		}
 	}
 	return false
 }
 
-// canary returns a backend server in doubt for one of several idempotent
-// requests, or -1. It finds out who is back without spending work that can't be
-// sent again.
+// canary returns the position of a suspected backend server for a random part of the
+// idempotent requests, or -1. This detects recovery without risking work that cannot
+// be retried.
 func (b *Balancer[E, D, P, L]) canary(r request, positions []int) int {
-	every, budget := uint64(canaryEvery), float64(canaryBudget)
+	every, budget := uint64(requestsPerCanary), float64(minCanaryBudget)
 	if b.position < 0 {
-		every, budget = guestCanaryEvery, 1
+		every, budget = nonOwnerRequestsPerCanary, 1
 	}
 	if r.last > 0 || !b.repeatable(r) || b.queued > 0 || b.budget.Left < budget {
 		return -1
@@ -176,27 +181,28 @@
 	oldest := -1
 	for _, p := range positions {
 		_, s := b.backends.At(p)
-		if s.belief.Trust(b.now) >= soundTrust || s.inFlight > 0 {
+		if s.estimate.Trust(b.now) >= healthyThreshold || s.inFlight > 0 {
 			continue
 		}
 		if oldest < 0 {
 			oldest = p
 			continue
 		}
-		if _, o := b.backends.At(oldest); s.belief.At.Before(o.belief.At) {
+		if _, o := b.backends.At(oldest); s.estimate.At.Before(o.estimate.At) {
 			oldest = p
 		}
 	}
 	return oldest
 }
 
-// repeatable tells whether r may run more than once.
+// repeatable reports whether r may run more than once.
 func (b *Balancer[E, D, P, L]) repeatable(r request) bool {
 	return b.classes[r.class].declared.Idempotent && r.replayable
 }
 
-// fullShed tells whether a backend server that refused work had no room by its
-// own report. One that refuses work with room is ill.
-func fullShed(l descriptor.Load) bool {
+// reportsFull reports whether a backend server that refused work had no free slot by
+// its own report. An unknown load counts as full. A refusal
+// with free slots is a sign of a fault.
+func reportsFull(l descriptor.Load) bool {
 	return !l.Known || l.Running >= l.Slots
 }
--- a/balancer/poison.go
+++ b/balancer/poison.go
@@ -7,20 +7,21 @@
 )
 
 const (
-	// maxCrashes bounds the suspected fingerprints of one generation.
+	// maxCrashes bounds the suspected fingerprints remembered per generation.
 	maxCrashes = 2048
-	// crashLimit is the number of backend servers that a request may bring down.
+	// crashLimit is the number of crashed backend servers from which a request is
+	// refused.
 	crashLimit = 2
-	// crashTime is how long a breakdown is held against a request.
+	// crashTime is how long after the last crash a request is refused.
 	crashTime = 10 * time.Minute
 )
 
-// crash lists the backend servers that broke down while they ran a request.
+// crash lists the backend servers that crashed while they ran a request.
 type crash struct {
 	// backends holds distinct IDs in its first count entries.
 	backends [crashLimit]string
 	count    int
-	// at is when the last backend server broke down.
+	// at is when the last backend server crashed.
 	at time.Time
 }
 
@@ -35,7 +36,7 @@
 	return c
 }
 
-// WithoutBackend returns c without a backend server that did not break down.
+// WithoutBackend returns c without a backend server that did not crash.
 func (c crash) WithoutBackend(id string) crash {
 	var result crash
 	for i := range c.count {
@@ -55,7 +56,7 @@
 	return false
 }
 
-// poisoned tells whether requests with a fingerprint are refused.
+// poisoned reports whether requests with a fingerprint are refused.
 func (b *Balancer[E, D, P, L]) poisoned(fingerprint uint64) bool {
 	c, ok := b.crashes.Get(fingerprint)
 	return ok && c.count >= crashLimit && b.now.Sub(c.at) < crashTime
@@ -66,10 +67,10 @@
 	return ok && (c.count > 1 || c.count == 1 && !c.has(id))
 }
 
-// recordCrash adds a breakdown and tells the other serving instances.
+// recordCrash records a crash and notifies the other owners.
 func (b *Balancer[E, D, P, L]) recordCrash(fingerprint uint64, id string) {
 	b.addCrash(fingerprint, id)
-	b.tell(descriptor.Crash{Service: b.service.Name, Fingerprint: fingerprint, Backend: id})
+	b.sendToServing(descriptor.Crash{Service: b.service.Name, Fingerprint: fingerprint, Backend: id})
 }
 
 func (b *Balancer[E, D, P, L]) addCrash(fingerprint uint64, id string) {
@@ -81,7 +82,7 @@
 	}
 }
 
-// clearCrash takes the suspicion off a request that was answered.
+// clearCrash removes the suspicion from a request that was answered.
 func (b *Balancer[E, D, P, L]) clearCrash(fingerprint uint64) {
 	if b.crashes.Len() == 0 {
 		return
@@ -91,12 +92,12 @@
 		return
 	}
 	b.crashes.Delete(fingerprint)
-	b.tell(descriptor.Crash{Service: b.service.Name, Fingerprint: fingerprint, Cleared: true})
+	b.sendToServing(descriptor.Crash{Service: b.service.Name, Fingerprint: fingerprint, Cleared: true})
 }
 
-// absolve takes back the crashes blamed on requests of a backend server that
-// turned out to be up.
-func (b *Balancer[E, D, P, L]) absolve(id string) {
+// withdrawCrashes removes the crashes recorded for a backend server that was found to
+// be up.
+func (b *Balancer[E, D, P, L]) withdrawCrashes(id string) {
 	for _, fingerprint := range b.crashes.Keys() {
 		c, _ := b.crashes.Get(fingerprint)
 		if !c.has(id) {
@@ -108,11 +109,11 @@
 		} else {
 			b.crashes.Put(fingerprint, c)
 		}
-		b.tell(descriptor.Crash{Service: b.service.Name, Fingerprint: fingerprint, Backend: id, Cleared: true})
+		b.sendToServing(descriptor.Crash{Service: b.service.Name, Fingerprint: fingerprint, Backend: id, Cleared: true})
 	}
 }
 
-// HearCrash takes in a breakdown at another serving instance.
+// HearCrash handles a crash, or its withdrawal, reported by another owner.
 func (b *Balancer[E, D, P, L]) HearCrash(now time.Time, m descriptor.Crash) {
 	b.advance(now)
 	if !m.Cleared {
--- a/balancer/request.go
+++ b/balancer/request.go
@@ -7,29 +7,30 @@
 	"monsoonswitch/retrier"
 )
 
-// parallel is the number of attempts of one request that may be open at once.
-const parallel = 2
+// maxOpenAttempts is the number of attempts of one request that may be open at once.
+const maxOpenAttempts = 2
 
-// attempt is one try of a request at a backend server.
+// attempt is one attempt to serve a request at a backend server.
 type attempt struct {
 	id      descriptor.AttemptID
 	backend string
-	// clock is when the backend server had the whole request; zero while its
-	// body is on the way.
-	clock time.Time
-	// answered tells that the head of the answer came.
+	// sentAt is when the backend server had received the whole request. Zero means
+	// that the body is still being sent.
+	sentAt time.Time
+	// answered is set when the head of the answer was received.
 	answered bool
-	// late tells that the attempt was held against its backend server because it
-	// ran for so long.
+	// late is set when the attempt was counted as a failure because it runs far too
+	// long.
 	late bool
 }
 
-// request is the record of a request that has not ended.
+// request holds the state of a request that has not ended.
 type request struct {
 	id    descriptor.RequestID
 	class int
 	label string
-	// caller, fingerprint, replayable, size and deadline are as in Arrived.
+	// caller, fingerprint, replayable, body, size and deadline are as in
+	// descriptor.Arrived.
 	caller      string
 	fingerprint uint64
 	replayable  bool
@@ -40,23 +41,23 @@
 	// expires is when the request is refused if it is still queued.
 	expires time.Time
 	// attempts holds the open attempts in its first count entries.
-	attempts [parallel]attempt
+	attempts [maxOpenAttempts]attempt
 	count    int
-	// last is the ID of the newest attempt, 0 before the first.
+	// last is the ID of the newest attempt, or 0 before the first.
 	last descriptor.AttemptID
-	// tried lists the backend servers of all attempts.
+	// tried lists the backend servers of all attempts in order.
 	tried [retrier.MaxTries]string
-	// unrun counts the attempts that are known not to have run.
-	unrun int
-	// delivered is the attempt whose answer goes to the caller, or 0.
+	// notRun counts the attempts that are known not to have run.
+	notRun int
+	// delivered is the ID of the attempt whose answer goes to the caller, or 0.
 	delivered descriptor.AttemptID
-	// uncertain tells that an ended attempt may have run.
-	uncertain bool
-	// gone tells that the caller left.
-	gone bool
-	// queued tells that the request waits for a slot.
+	// mayHaveRun is set when an ended attempt may have run.
+	mayHaveRun bool
+	// callerGone is set when the caller has disconnected.
+	callerGone bool
+	// queued is set while the request waits for a slot.
 	queued bool
-	// status is the HTTP status delivered.
+	// status is the HTTP status delivered to the caller.
 	status int
 }
 
@@ -64,7 +65,7 @@
 func (r request) WithAttempt(backend string, now time.Time) request {
 	a := attempt{id: r.last + 1, backend: backend}
 	if !r.body {
-		a.clock = now
+		a.sentAt = now
 	}
 	r.attempts[r.count] = a
 	r.tried[r.last] = backend
@@ -82,53 +83,53 @@
 	return r
 }
 
-// WithClock returns r with the clock of the attempt at index i set.
-func (r request) WithClock(i int, t time.Time) request {
-	r.attempts[i].clock = t
+// WithSentAt returns r with the attempt at index i sent completely at t.
+func (r request) WithSentAt(i int, t time.Time) request {
+	r.attempts[i].sentAt = t
 	return r
 }
 
-// WithLate returns r with the attempt at index i found far too long.
+// WithLate returns r with the attempt at index i marked as late.
 func (r request) WithLate(i int) request {
 	r.attempts[i].late = true
 	return r
 }
 
-// WithAnswer returns r with the attempt at index i answered.
+// WithAnswer returns r with the attempt at index i marked as answered.
 func (r request) WithAnswer(i int) request {
 	r.attempts[i].answered = true
 	return r
 }
 
-// WithDelivery returns r with the answer of an attempt on its way to the caller.
+// WithDelivery returns r while the answer of an attempt is delivered to the caller.
 func (r request) WithDelivery(id descriptor.AttemptID, status int) request {
 	r.delivered = id
 	r.status = status
 	return r
 }
 
-// WithoutRun returns r after an attempt that did not run.
-func (r request) WithoutRun() request {
-	r.unrun++
+// WithNotRun returns r after an attempt that did not run.
+func (r request) WithNotRun() request {
+	r.notRun++
 	return r
 }
 
-// WithUncertainty returns r after an attempt that may have run.
-func (r request) WithUncertainty() request {
-	r.uncertain = true
+// WithMayHaveRun returns r after an attempt that may have run.
+func (r request) WithMayHaveRun() request {
+	r.mayHaveRun = true
 	return r
 }
 
-// WithQueued returns r waiting for a slot until it expires.
+// WithQueued returns r waiting for a slot until expires.
 func (r request) WithQueued(expires time.Time) request {
 	r.queued = true
 	r.expires = expires
 	return r
 }
 
-// WithGone returns r after its caller left.
-func (r request) WithGone() request {
-	r.gone = true
+// WithCallerGone returns r after its caller disconnected.
+func (r request) WithCallerGone() request {
+	r.callerGone = true
 	return r
 }
 
@@ -142,7 +143,7 @@
 	return -1
 }
 
-// triedAt tells whether an attempt was made at a backend server.
+// triedAt reports whether r was sent to a backend server before.
 func (r request) triedAt(backend string) bool {
 	for i := range int(r.last) {
 		if r.tried[i] == backend {
@@ -152,9 +153,9 @@
 	return false
 }
 
-// outcome returns what is known of a request that ends without an answer.
+// outcome returns the outcome of a request that ends without an answer.
 func (r request) outcome() descriptor.Outcome {
-	if r.uncertain || r.count > 0 {
+	if r.mayHaveRun || r.count > 0 {
 		return descriptor.MayHaveRun
 	}
 	return descriptor.NotRun
--- a/balancer/share.go
+++ b/balancer/share.go
@@ -6,108 +6,109 @@
 	"monsoonswitch/descriptor"
 )
 
-// Times of what serving instances tell each other.
+// Parameters of the messages between owners.
 const (
-	// evidenceEvery is the time between evidence messages.
-	evidenceEvery = 200 * time.Millisecond
-	// evidenceFull is the time between evidence messages in which nothing
-	// changed.
-	evidenceFull = 3 * time.Second
-	// demandEvery is the time between demands for slots.
-	demandEvery = 100 * time.Millisecond
-	// loanTime is how long a borrower may start work on a slot.
-	loanTime = time.Second
-	// loanGrace is how much longer the lender leaves the slot unused.
-	loanGrace = 250 * time.Millisecond
-	// leastScore is the smallest score worth telling.
-	leastScore = 0.5
+	// evidenceInterval is the minimum time between evidence messages.
+	evidenceInterval = 200 * time.Millisecond
+	// fullEvidenceInterval is the time between evidence messages when nothing is
+	// urgent.
+	fullEvidenceInterval = 3 * time.Second
+	// demandInterval is the minimum time between requests for slots.
+	demandInterval = 100 * time.Millisecond
+	// slotLeaseTime is how long a lessee may start work on a leased slot.
+	slotLeaseTime = time.Second
+	// slotLeaseGrace is how much longer the lessor keeps the slot unused.
+	slotLeaseGrace = 250 * time.Millisecond
+	// minReportedScore is the smallest score that is reported.
+	minReportedScore = 0.5
 )
 
-// share tells the other serving instances what they need.
-func (b *Balancer[E, D, P, L]) share() {
+// publish sends the other owners the outcomes, evidence and slot requests of this
+// instance.
+func (b *Balancer[E, D, P, L]) publish() {
 	if b.options.Guests {
-		b.tellOutcomes()
+		b.publishOutcomes()
 		return
 	}
 	if b.position < 0 || len(b.serving) < 2 {
 		return
 	}
-	b.shareEvidence()
-	b.demand()
+	b.publishEvidence()
+	b.requestSlots()
 }
 
-func (b *Balancer[E, D, P, L]) shareEvidence() {
+func (b *Balancer[E, D, P, L]) publishEvidence() {
 	since := b.now.Sub(b.lastEvidence)
-	if since < evidenceEvery {
+	if since < evidenceInterval {
 		return
 	}
 	scores, urgent := b.scores()
-	if !urgent && b.now.Sub(b.lastFull) < evidenceFull {
+	if !urgent && b.now.Sub(b.lastFullEvidence) < fullEvidenceInterval {
 		return
 	}
 	b.lastEvidence = b.now
-	if b.now.Sub(b.lastFull) >= evidenceFull {
-		b.lastFull = b.now
-		b.rotateRecent()
+	if b.now.Sub(b.lastFullEvidence) >= fullEvidenceInterval {
+		b.lastFullEvidence = b.now
+		b.startObservationWindow()
 	}
-	b.tell(descriptor.Evidence{Service: b.service.Name, Scores: scores})
+	b.sendToServing(descriptor.Evidence{Service: b.service.Name, Scores: scores})
 }
 
-// rotateRecent begins a new window of recent observations.
-func (b *Balancer[E, D, P, L]) rotateRecent() {
+// startObservationWindow starts a new window of recent observations.
+func (b *Balancer[E, D, P, L]) startObservationWindow() {
 	for i := range b.backends.Len() {
 		_, s := b.backends.At(i)
-		b.backends.SetAt(i, s.WithWindow())
+		b.backends.SetAt(i, s.WithNewWindow())
 	}
 }
 
-// scores returns the evidence worth telling and whether any of it is urgent.
+// scores returns the evidence to report and whether any of it is urgent.
 func (b *Balancer[E, D, P, L]) scores() ([]descriptor.Score, bool) {
 	var scores []descriptor.Score
 	urgent := false
 	for id, s := range b.backends.All {
-		value := b.detector.Score(s.evidence) + s.open
-		if !s.healthy() || value < leastScore && s.seen() == 0 {
+		value := b.detector.Score(s.evidence) + s.overdueScore
+		if !s.healthy() || value < minReportedScore && s.recentObservations() == 0 {
 			continue
 		}
-		urgent = urgent || value >= urgentShare*b.detector.Limit()
-		scores = append(scores, descriptor.Score{Backend: id, Value: value, Recent: s.seen()})
+		urgent = urgent || value >= urgentScoreRatio*b.detector.Limit()
+		scores = append(scores, descriptor.Score{Backend: id, Value: value, Recent: s.recentObservations()})
 	}
 	return scores, urgent
 }
 
-// demand asks the other serving instances for slots while work is queued.
-func (b *Balancer[E, D, P, L]) demand() {
-	if b.queued == 0 || b.now.Sub(b.lastDemand) < demandEvery {
+// requestSlots asks the other owners for slots while work is queued.
+func (b *Balancer[E, D, P, L]) requestSlots() {
+	if b.queued == 0 || b.now.Sub(b.lastDemand) < demandInterval {
 		return
 	}
 	b.lastDemand = b.now
-	b.tell(descriptor.Demand{Service: b.service.Name, Slots: min(b.queued, b.slots+1)})
+	b.sendToServing(descriptor.Demand{Service: b.service.Name, Slots: min(b.queued, b.slots+1)})
 }
 
-// HearDemand lends free slots to another serving instance, at most half of
-// those free, if no work is queued here.
+// HearDemand leases out at most half of the free slots to another owner, if no work
+// is queued here.
 func (b *Balancer[E, D, P, L]) HearDemand(now time.Time, from descriptor.Member, m descriptor.Demand) {
 	b.advance(now)
 	if b.queued > 0 || b.position < 0 {
 		return
 	}
-	left := min(m.Slots, b.idle()/2)
+	left := min(m.Slots, b.freeSlots()/2)
 	for i := 0; i < b.backends.Len() && left > 0; i++ {
 		id, s := b.backends.At(i)
-		if s.mode != modeReady || s.avoided || b.now.Before(s.lentUntil) || s.limit(b.now)-s.inFlight < 1 {
+		if s.mode != modeReady || s.avoided || b.now.Before(s.leasedOutUntil) || s.limit(b.now)-s.inFlight < 1 {
 			continue
 		}
-		s.lent = 1
-		s.lentUntil = b.now.Add(loanTime + loanGrace)
-		b.place(i, s)
+		s.leasedOut = 1
+		s.leasedOutUntil = b.now.Add(slotLeaseTime + slotLeaseGrace)
+		b.putBackend(i, s)
 		left--
-		loan := descriptor.Loan{Service: m.Service, Backend: id, Slots: 1, Millis: loanTime.Milliseconds()}
+		loan := descriptor.Loan{Service: m.Service, Backend: id, Slots: 1, Millis: slotLeaseTime.Milliseconds()}
 		b.emit(descriptor.Send{To: from, Message: loan})
 	}
 }
 
-func (b *Balancer[E, D, P, L]) idle() int {
+func (b *Balancer[E, D, P, L]) freeSlots() int {
 	n := 0
 	for _, s := range b.backends.All {
 		n += max(0, s.limit(b.now)-s.inFlight)
@@ -115,19 +116,19 @@
 	return n
 }
 
-// HearLoan uses slots lent by another serving instance.
+// HearLoan makes slots leased from another owner available.
 func (b *Balancer[E, D, P, L]) HearLoan(now time.Time, m descriptor.Loan) {
 	b.advance(now)
 	p := b.backends.Position(m.Backend)
-	if p < 0 || m.Slots <= 0 || m.Millis <= 0 || m.Millis > loanTime.Milliseconds() {
+	if p < 0 || m.Slots <= 0 || m.Millis <= 0 || m.Millis > slotLeaseTime.Milliseconds() {
 		return
 	}
 	_, s := b.backends.At(p)
-	if !b.now.Before(s.borrowedUntil) {
-		s.borrowed = 0
+	if !b.now.Before(s.leasedInUntil) {
+		s.leasedIn = 0
 	}
-	s.borrowed = min(s.borrowed+m.Slots, s.listed.Slots-s.share)
-	s.borrowedUntil = b.now.Add(time.Duration(m.Millis) * time.Millisecond)
-	b.place(p, s)
-	b.pump()
+	s.leasedIn = min(s.leasedIn+m.Slots, s.listed.Slots-s.share)
+	s.leasedInUntil = b.now.Add(time.Duration(m.Millis) * time.Millisecond)
+	b.putBackend(p, s)
+	b.startQueued()
 }
--- a/balancer/spread.go
+++ b/balancer/spread.go
@@ -6,110 +6,114 @@
 	"monsoonswitch/allocator"
 )
 
-// Parameters of spreading. Work goes to the backend servers known best, but most
-// of those that may be sound get a request now and then, whatever happens next:
-// when much work fails at once, too few may be in use otherwise.
+// Parameters of spreading. Most work goes to the backend servers with the best
+// estimates, but most of the probably healthy ones get a request now and then.
+// Otherwise too few would be in use at a moment when much work fails at once.
 const (
-	// spreadPart is the part of the expected number of sound backend servers from
-	// which on enough of them are in use: a little more than the seven in ten that
-	// operators expect. One that failed by itself does not count for failedTime.
-	// gravePart is that part from graveShare on: those in use may be the ones in
-	// trouble.
-	spreadPart = 0.74
-	gravePart  = 1
-	failedTime = 2 * time.Second
-	// repeatedLeast is the share of work that may run twice from which on it alone
-	// finds out about backend servers in doubt, and repeatedWeight the weight of
-	// one request in that share.
-	repeatedLeast  = 0.3
-	repeatedWeight = 0.03
-	// spreadAfter is the time without work after which a backend server is due: so
-	// much less than two seconds that an instance with little work still comes to it
-	// in time.
-	spreadAfter = 1800 * time.Millisecond
-	// homePart is the part of that time after which the instance does so that a
-	// backend server belongs to; the others come in if it does not.
-	homePart = 0.8
-	// calmTrust is the trust from which one may be sound, and spreadTrust that
-	// while work fails.
-	calmTrust   = 0.4
-	spreadTrust = 0.35
-	// spreadBonus puts a backend server that is due ahead of all others.
+	// usedRatio is the part of the expected number of healthy backend servers that
+	// must be in use. It is a little above the 0.7 that operators expect. A backend
+	// server whose work failed is not counted for failureExclusion.
+	// usedRatioHighFailures applies from a failure share of highFailureShare on, when
+	// those in use may be the faulty ones.
+	usedRatio             = 0.74
+	usedRatioHighFailures = 1
+	failureExclusion      = 2 * time.Second
+	// minRepeatableShare is the share of idempotent work from which it alone is used
+	// to check suspected backend servers. repeatableShareWeight is the weight of one
+	// request in the moving average of that share.
+	minRepeatableShare    = 0.3
+	repeatableShareWeight = 0.03
+	// spreadInterval is the time without work after which a backend server is overdue
+	// for a request. It is below the two-second window of the operators, so that an
+	// instance with little work still sends one in time.
+	spreadInterval = 1800 * time.Millisecond
+	// ownerIntervalRatio shortens spreadInterval at the one owner that is assigned to
+	// a backend server. The other owners send work only if that one did not.
+	ownerIntervalRatio = 0.8
+	// spreadProbability is the probability of serving a request from which a backend
+	// server counts as possibly healthy. spreadProbabilityFailing applies while the
+	// share of failures is elevated.
+	spreadProbability        = 0.4
+	spreadProbabilityFailing = 0.35
+	// spreadBonus adds to the score of an overdue backend server, in units of the
+	// probability of serving the request. It ranks it ahead of all others.
 	spreadBonus = 0.7
 )
 
-// spreadTo returns what it is worth to send r to a backend server because it had
-// no work for a while.
-func (b *Balancer[E, D, P, L]) spreadTo(r request, s backend[E]) float64 {
-	if !b.spreading || b.failedLately(s) || s.belief.Trust(b.now) < b.spreadFrom || b.inUse(s, b.spreadTime(s)) {
+// spreadBonusFor returns the addition to the score of s for r because s had no work
+// for a while.
+func (b *Balancer[E, D, P, L]) spreadBonusFor(r request, s backend[E]) float64 {
+	if !b.spreading || b.failedRecently(s) || s.estimate.Trust(b.now) < b.spreadThreshold || b.inUse(s, b.spreadIntervalFor(s)) {
 		return 0
 	}
-	if !b.repeatable(r) && b.repeated >= repeatedLeast && !b.recent.failing() {
-		// Work that can be sent again finds out at a lower price.
+	if !b.repeatable(r) && b.repeatableShare >= minRepeatableShare && !b.recentOutcomes.failuresElevated() {
+		// Idempotent work checks s at a lower cost.
 		return 0
 	}
 	return spreadBonus
 }
 
-// noteKind keeps count of the share of work that may run twice.
-func (b *Balancer[E, D, P, L]) noteKind(r request) {
-	kind := 0.0
+// updateRepeatableShare adds r to the moving average share of work that may run
+// twice.
+func (b *Balancer[E, D, P, L]) updateRepeatableShare(r request) {
+	repeatable := 0.0
 	if b.repeatable(r) {
-		kind = 1
+		repeatable = 1
 	}
-	b.repeated += repeatedWeight * (kind - b.repeated)
+	b.repeatableShare += repeatableShareWeight * (repeatable - b.repeatableShare)
 }
 
-// spreadTime returns the time without work after which a backend server is due
-// here.
-func (b *Balancer[E, D, P, L]) spreadTime(s backend[E]) time.Duration {
+// spreadIntervalFor returns the time without work after which s is overdue for a
+// request of this instance.
+func (b *Balancer[E, D, P, L]) spreadIntervalFor(s backend[E]) time.Duration {
 	if allocator.Share(1, len(b.serving), b.position, s.listed.ID) == 0 {
-		return spreadAfter
+		return spreadInterval
 	}
-	home := homePart * float64(spreadAfter)
-	return time.Duration(home)
+	interval := ownerIntervalRatio * float64(spreadInterval)
+	return time.Duration(interval)
 }
 
-// inUse tells whether a backend server had work lately.
+// inUse reports whether a backend server had work within the given time.
 func (b *Balancer[E, D, P, L]) inUse(s backend[E], within time.Duration) bool {
 	return b.now.Sub(s.usedAt) < within
 }
 
-// failedLately tells whether a backend server just failed work.
-func (b *Balancer[E, D, P, L]) failedLately(s backend[E]) bool {
-	return b.now.Sub(s.failedAt) < failedTime
+// failedRecently reports whether work failed at a backend server within
+// failureExclusion.
+func (b *Balancer[E, D, P, L]) failedRecently(s backend[E]) bool {
+	return b.now.Sub(s.failedAt) < failureExclusion
 }
 
-// watchSpread finds out whether work is to be spread.
-func (b *Balancer[E, D, P, L]) watchSpread() {
-	b.recent = b.recent.WithTime(b.now)
+// updateSpreading decides whether work is spread over more backend servers.
+func (b *Balancer[E, D, P, L]) updateSpreading() {
+	b.recentOutcomes = b.recentOutcomes.WithTime(b.now)
 	b.spreading = false
 	if !b.options.Guests || b.position < 0 {
 		return
 	}
-	grave := b.recent.grave()
-	part := spreadPart
+	high := b.recentOutcomes.failuresHigh()
+	ratio := usedRatio
 	switch {
-	case grave:
-		part, b.spreadFrom = gravePart, 0
-	case b.recent.failing():
-		b.spreadFrom = spreadTrust
+	case high:
+		ratio, b.spreadThreshold = usedRatioHighFailures, 0
+	case b.recentOutcomes.failuresElevated():
+		b.spreadThreshold = spreadProbabilityFailing
 	default:
-		b.spreadFrom = calmTrust
+		b.spreadThreshold = spreadProbability
 	}
-	sound, used := 0.0, 0.0
+	expected, used := 0.0, 0.0
 	for _, s := range b.backends.All {
-		if s.mode != modeReady || b.failedLately(s) {
+		if s.mode != modeReady || b.failedRecently(s) {
 			continue
 		}
-		likely := 1.0
-		if !grave {
-			likely = 1 - s.belief.WithTime(b.now).Gray
+		probability := 1.0
+		if !high {
+			probability = 1 - s.estimate.WithTime(b.now).Gray
 		}
-		sound += likely
-		if b.inUse(s, b.spreadTime(s)) {
-			used += likely
+		expected += probability
+		if b.inUse(s, b.spreadIntervalFor(s)) {
+			used += probability
 		}
 	}
-	b.spreading = used < part*sound
+	b.spreading = used < ratio*expected
 }
--- a/balancer/tick.go
+++ b/balancer/tick.go
@@ -7,47 +7,47 @@
 	"monsoonswitch/descriptor"
 )
 
-// Times of periodic work.
+// Parameters of periodic work.
 const (
-	// judgeEvery is the time between judgements of the backend servers.
-	judgeEvery = 20 * time.Millisecond
-	// hedgeQuantile is the share of answers after which open work is overdue
-	// enough for a second attempt.
+	// evaluationInterval is the time between evaluations of the backend servers.
+	evaluationInterval = 20 * time.Millisecond
+	// hedgeQuantile is the quantile of service times after which an open attempt is
+	// hedged.
 	hedgeQuantile = 0.97
-	// hedgePart is the part of the target after which it is hedged at the latest, if
-	// usual work takes less than half of that.
-	hedgePart = 0.5
-	// giveUpTargets is the number of targets after which short work is given up.
-	giveUpTargets = 20
-	// giveUpLeast is the least time after which short work is given up.
-	giveUpLeast = 10 * time.Second
-	// timeoutSlack is how long after its timeout work is given up, so that an
-	// answer that is just then ready is delivered.
+	// hedgeTargetRatio is the part of the target after which an attempt is hedged at
+	// the latest, if the typical service time is less than half of that.
+	hedgeTargetRatio = 0.5
+	// abandonTargets is the number of targets after which short work is abandoned.
+	abandonTargets = 20
+	// minAbandonTime is the minimum time after which short work is abandoned.
+	minAbandonTime = 10 * time.Second
+	// timeoutSlack is how long after its timeout work is abandoned, so that an answer
+	// that arrives just then is still delivered.
 	timeoutSlack = 60 * time.Millisecond
 )
 
-// Tick does everything that depends on time alone.
+// Tick does the work that depends only on time.
 func (b *Balancer[E, D, P, L]) Tick(now time.Time) {
 	b.advance(now)
-	b.fade()
+	b.dropRetainedShare()
 	b.expireQueued()
-	b.dropLost()
-	b.wake()
-	if now.Sub(b.lastJudged) >= judgeEvery {
-		b.lastJudged = now
-		b.measureOverdue()
-		b.watchSpread()
-		b.watchLoad()
-		b.judge()
+	b.dropMissing()
+	b.updateModes()
+	if now.Sub(b.lastEvaluation) >= evaluationInterval {
+		b.lastEvaluation = now
+		b.updateOverdueScores()
+		b.updateSpreading()
+		b.updateOtherWork()
+		b.evaluate()
 		b.hedge()
-		b.giveUp()
-		b.share()
+		b.abandonOverdue()
+		b.publish()
 	}
 	b.refresh()
-	b.pump()
+	b.startQueued()
 }
 
-// expireQueued refuses requests whose time in the queue is over.
+// expireQueued refuses requests that have been queued for too long.
 func (b *Balancer[E, D, P, L]) expireQueued() {
 	if b.queued == 0 {
 		return
@@ -84,64 +84,67 @@
 	b.retries = kept
 }
 
-// wake ends drains and breakdowns whose time is over.
-func (b *Balancer[E, D, P, L]) wake() {
+// updateModes ends drains whose time is over and probes backend servers that are
+// down.
+func (b *Balancer[E, D, P, L]) updateModes() {
 	for i := range b.backends.Len() {
 		_, s := b.backends.At(i)
 		switch {
 		case s.mode == modeLeaving && !s.listed.Leaving && b.now.After(s.drainUntil):
 			b.backends.SetAt(i, s.WithReturn(b.now, s.evidence))
 		case s.mode == modeDown && b.now.After(s.probeAt):
-			s.probeAt = b.now.Add(probeLast)
+			s.probeAt = b.now.Add(maxProbeWait)
 			b.backends.SetAt(i, s)
 			b.emit(descriptor.Probe{Service: b.service.Name, Backend: s.listed})
 		}
 	}
 }
 
-// measureOverdue sums up the weight of open requests by backend server.
-func (b *Balancer[E, D, P, L]) measureOverdue() {
+// updateOverdueScores recomputes the scores of overdue open requests by backend
+// server.
+func (b *Balancer[E, D, P, L]) updateOverdueScores() {
 	for i := range b.backends.Len() {
 		_, s := b.backends.At(i)
-		if s.open != 0 {
-			s.open = 0
+		if s.overdueScore != 0 {
+			s.overdueScore = 0
 			b.backends.SetAt(i, s)
 		}
 	}
 	for i := range b.requests.Len() {
 		_, r := b.requests.At(i)
 		for k := range r.count {
-			b.weighOpen(r, r.attempts[k])
+			b.addOverdueScore(r, r.attempts[k])
 			if b.options.Guests && b.isLate(r, r.attempts[k]) {
 				r = r.WithLate(k)
 				b.requests.SetAt(i, r)
-				b.holdLate(r.attempts[k].backend)
+				b.recordLateAttempt(r.attempts[k].backend)
 			}
 		}
 	}
 }
 
-// Parameters of work that runs far too long.
+// Parameters of attempts that run far too long.
 const (
-	// lateFactor is how many usual service times work takes at most but for a few
-	// in a hundred requests.
+	// lateFactor is the multiple of the typical service time that only a few percent
+	// of requests exceed.
 	lateFactor = 5
-	// lateBase is the share of such requests at sound backend servers.
-	lateBase = 0.06
+	// lateFailureBase is the share of such requests at healthy backend servers.
+	lateFailureBase = 0.06
 )
 
-// isLate tells whether an open attempt runs for so long, for the first time, that
-// its backend server may hang.
+// isLate reports whether an open attempt exceeds lateFactor for the first time, which
+// suggests that its backend server hangs.
 func (b *Balancer[E, D, P, L]) isLate(r request, a attempt) bool {
-	if a.late || a.answered || a.clock.IsZero() {
+	if a.late || a.answered || a.sentAt.IsZero() {
 		return false
 	}
 	typical := b.references[r.class].Quantile(0.5, b.classes[r.class].declared.Target/2)
-	return b.now.Sub(a.clock) > lateFactor*typical
+	return b.now.Sub(a.sentAt) > lateFactor*typical
 }
 
-// holdLate holds a request that runs far too long against its backend server.
-func (b *Balancer[E, D, P, L]) holdLate(id string) {
+// recordLateAttempt counts an attempt that runs far too long as a failure of its
+// backend server.
+func (b *Balancer[E, D, P, L]) recordLateAttempt(id string) {
 	p := b.backends.Position(id)
 	if p < 0 {
 		return
@@ -150,12 +153,12 @@
 	if b.now.Before(s.coldUntil) {
 		return
 	}
-	b.noteLate(id)
-	b.backends.SetAt(p, s.WithOutcome(b.now, true, lateBase))
+	b.queueLateOutcome(id)
+	b.backends.SetAt(p, s.WithOutcome(b.now, true, lateFailureBase))
 }
 
-func (b *Balancer[E, D, P, L]) weighOpen(r request, a attempt) {
-	if a.answered || a.clock.IsZero() {
+func (b *Balancer[E, D, P, L]) addOverdueScore(r request, a attempt) {
+	if a.answered || a.sentAt.IsZero() {
 		return
 	}
 	p := b.backends.Position(a.backend)
@@ -163,21 +166,21 @@
 		return
 	}
 	_, s := b.backends.At(p)
-	if b.now.Before(s.coldUntil) || !s.healthy() || a.clock.Before(s.trialFrom) {
+	if b.now.Before(s.coldUntil) || !s.healthy() || a.sentAt.Before(s.trialFrom) {
 		return
 	}
-	age := b.now.Sub(a.clock)
+	age := b.now.Sub(a.sentAt)
 	if age < b.references[r.class].Quantile(0.5, 0) {
 		return
 	}
 	weight := b.detector.Overdue(b.tail(r.class, age))
 	if weight > 0 {
-		s.open += weight
+		s.overdueScore += weight
 		b.backends.SetAt(p, s)
 	}
 }
 
-// hedge opens second attempts of overdue requests that may run twice.
+// hedge opens a second attempt of overdue requests that may run twice.
 func (b *Balancer[E, D, P, L]) hedge() {
 	if b.queued > 0 || !b.limiter.Hedges() {
 		return
@@ -191,7 +194,7 @@
 			continue
 		}
 		position := b.pickFrom(&b.preferred, r)
-		if position >= 0 && b.spend() {
+		if position >= 0 && b.spendRetry() {
 			b.dispatch(r, position)
 		}
 	}
@@ -202,7 +205,7 @@
 	return ok && c.count > 0
 }
 
-// overdueRequests lists the requests that may be hedged, oldest ID first.
+// overdueRequests lists the requests to hedge in order of their IDs.
 func (b *Balancer[E, D, P, L]) overdueRequests() []descriptor.RequestID {
 	var ids []descriptor.RequestID
 	for id, r := range b.requests.All {
@@ -219,27 +222,27 @@
 	if !declared.Idempotent || declared.Long || !r.replayable || r.delivered != 0 {
 		return false
 	}
-	if r.count != 1 || b.exhausted(r) || r.attempts[0].clock.IsZero() {
+	if r.count != 1 || b.exhausted(r) || r.attempts[0].sentAt.IsZero() {
 		return false
 	}
-	return b.now.Sub(r.attempts[0].clock) > b.hedgeAfter(r.class)
+	return b.now.Sub(r.attempts[0].sentAt) > b.hedgeAfter(r.class)
 }
 
-// hedgeAfter returns how long an attempt of a class runs before it is hedged: while
-// a second one can still meet the target, if it takes the usual time.
+// hedgeAfter returns how long an attempt of a class runs before it is hedged. A
+// second attempt with the typical service time can then still meet the target.
 func (b *Balancer[E, D, P, L]) hedgeAfter(c int) time.Duration {
 	target := b.classes[c].declared.Target
 	typical := b.references[c].Quantile(0.5, target/4)
-	usual := b.references[c].Quantile(hedgeQuantile, target)
-	latest := max(time.Duration(hedgePart*float64(target)), 2*typical)
-	return max(min(usual, latest), target/10)
+	quantile := b.references[c].Quantile(hedgeQuantile, target)
+	latest := max(time.Duration(hedgeTargetRatio*float64(target)), 2*typical)
+	return max(min(quantile, latest), target/10)
 }
 
-// giveUp ends running requests that nobody waits for any more.
-func (b *Balancer[E, D, P, L]) giveUp() {
+// abandonOverdue ends running requests that have exceeded their time.
+func (b *Balancer[E, D, P, L]) abandonOverdue() {
 	var late []request
 	for _, r := range b.requests.All {
-		if b.hopeless(r) {
+		if b.shouldAbandon(r) {
 			late = append(late, r)
 		}
 	}
@@ -249,13 +252,13 @@
 		if !r.deadline.IsZero() && !b.now.Before(r.deadline) {
 			reason = descriptor.Expired
 		}
-		b.refuse(r.WithUncertainty(), reason, descriptor.MayHaveRun, 0)
+		b.refuse(r.WithMayHaveRun(), reason, descriptor.MayHaveRun, 0)
 	}
 }
 
-// hopeless tells whether a running request is to be given up: idempotent work
-// at its deadline, other short work after many targets. Long work never is.
-func (b *Balancer[E, D, P, L]) hopeless(r request) bool {
+// shouldAbandon reports whether a running request is to be abandoned: after its
+// timeout or deadline, or after many targets. Long work never is.
+func (b *Balancer[E, D, P, L]) shouldAbandon(r request) bool {
 	declared := b.classes[r.class].declared
 	if r.count == 0 || r.delivered != 0 || declared.Long {
 		return false
@@ -264,11 +267,11 @@
 		return true
 	}
 	if b.options.Guests && !r.deadline.IsZero() && b.now.Sub(r.deadline) > timeoutSlack {
-		// The backend server ended it too, as it knows the deadline.
+		// The backend server knows the deadline and has ended the work too.
 		return true
 	}
 	if declared.Idempotent && !r.deadline.IsZero() && b.now.After(r.deadline) {
 		return true
 	}
-	return b.now.Sub(r.arrived) > max(giveUpLeast, giveUpTargets*declared.Target)
+	return b.now.Sub(r.arrived) > max(minAbandonTime, abandonTargets*declared.Target)
 }
--- a/balancer/trace.go
+++ b/balancer/trace.go
@@ -2,8 +2,8 @@
 
 import "monsoonswitch/descriptor"
 
-// trace records a decision about a request. Only balancers whose outcomes are
-// pooled do so; a is 0 for decisions that concern no attempt.
+// trace emits a trace entry for a decision about a request, if outcomes are pooled. a
+// is 0 for decisions that concern no attempt.
 func (b *Balancer[E, D, P, L]) trace(r request, number int, a descriptor.AttemptID, backend, cause string, status int) {
 	if !b.options.Guests {
 		return
@@ -23,7 +23,7 @@
 		t.Left = r.deadline.Sub(b.now)
 	}
 	if s, ok := b.backends.Get(backend); ok {
-		t.Trust = s.belief.Trust(b.now)
+		t.Trust = s.estimate.Trust(b.now)
 		t.Load = s.load(b.now)
 	}
 	b.emit(t)
--- a/balancer/window.go
+++ b/balancer/window.go
@@ -4,29 +4,30 @@
 
 // Parameters of a window.
 const (
-	// windowStep is the width of a part of a window, and windowSteps the number of
-	// parts: together the two seconds over which operators look at a service.
+	// windowStep is the width of one step of a window and windowSteps their number.
+	// Together they span the two seconds over which operators judge a service.
 	windowStep  = 200 * time.Millisecond
 	windowSteps = 10
-	// alarmLimit is the share of failures above which operators expect that most of
-	// the capacity is in use. Work is spread more from alarmShare, so that there is
-	// time, and from alarmMargin failures below the limit where requests are few.
-	alarmLimit  = 0.1
-	alarmShare  = 0.06
-	alarmMargin = 2
-	// graveShare is the share of failures from which backend servers in any doubt
-	// count too. It is above what their own failures add, so that these alone can't
-	// keep work spread.
-	graveShare = 0.12
+	// operatorFailureShare is the share of failures above which operators expect most
+	// of the capacity to be in use. Spreading increases earlier, from
+	// elevatedFailureShare on, to be in time. With few requests it increases from
+	// elevatedFailureMargin failures below the limit.
+	operatorFailureShare  = 0.1
+	elevatedFailureShare  = 0.06
+	elevatedFailureMargin = 2
+	// highFailureShare is the share of failures from which suspected backend servers
+	// count too. It is above what their own failures add, so that these alone cannot
+	// keep spreading active.
+	highFailureShare = 0.12
 )
 
 // window counts the outcomes of the last two seconds.
 type window struct {
-	// origin is when the first part began; zero means that there is no outcome.
+	// origin is when the first step began. Zero means that there is no outcome yet.
 	origin time.Time
-	// newest is the number of the newest part since origin.
+	// newest is the number of the newest step since origin.
 	newest int64
-	// all and failed are counts by part; part n is at n modulo windowSteps.
+	// all and failed are counts by step. Step n has index n modulo windowSteps.
 	all, failed [windowSteps]int
 }
 
@@ -64,17 +65,19 @@
 	return all, failed
 }
 
-// failing tells whether a notable share of the work failed.
-func (w window) failing() bool {
+// failuresElevated reports whether more than elevatedFailureShare of the requests
+// failed, or so many that elevatedFailureMargin more would reach
+// operatorFailureShare.
+func (w window) failuresElevated() bool {
 	all, failed := w.counts()
 	if failed == 0 {
 		return false
 	}
-	return float64(failed) > alarmShare*float64(all) || float64(failed+alarmMargin) >= alarmLimit*float64(all)
+	return float64(failed) > elevatedFailureShare*float64(all) || float64(failed+elevatedFailureMargin) >= operatorFailureShare*float64(all)
 }
 
-// grave tells whether so much work failed that operators look at what is in use.
-func (w window) grave() bool {
+// failuresHigh reports whether more than highFailureShare of the requests failed.
+func (w window) failuresHigh() bool {
 	all, failed := w.counts()
-	return float64(failed) > graveShare*float64(all)
+	return float64(failed) > highFailureShare*float64(all)
 }
