--- a/balancer/eject.go
+++ b/balancer/eject.go
@@ -16,8 +16,8 @@
 	maxHoldOff = 5 * time.Minute
 	// strikeTime is how long after its end an ejection counts as one in a row.
 	strikeTime = 2 * time.Minute
-	// minAvoidTime and maxAvoidTime bound how long an instance prefers other backend servers
-	// on its own evidence.
+	// minAvoidTime and maxAvoidTime bound how long an instance prefers other backend
+	// servers on its own evidence.
 	minAvoidTime = 2 * time.Second
 	maxAvoidTime = time.Minute
 	// proposalWait is the wait after a proposal that did not reach the store.
@@ -94,14 +94,14 @@
 // and which it proposes for ejection.
 func (b *Balancer[E, D, P, L]) evaluate() {
 	b.applyEjections()
-	verdicts := b.assessments()
-	for _, v := range verdicts {
+	list := b.assessments()
+	for _, v := range list {
 		b.updateAvoidance(v)
 	}
 	if b.position < 0 || b.proposal.id != 0 || b.now.Before(b.proposal.retryAt) {
 		return
 	}
-	b.propose(b.ejectable(verdicts))
+	b.propose(b.ejectable(list))
 }
 
 func (b *Balancer[E, D, P, L]) assessments() []assessment {
@@ -205,9 +205,9 @@
 // ejectable returns the assessments of the backend servers to eject, worst first. A
 // fault seen by only one of several instances is attributed to its network path,
 // unless no other instance has work there.
-func (b *Balancer[E, D, P, L]) ejectable(verdicts []assessment) []assessment {
+func (b *Balancer[E, D, P, L]) ejectable(list []assessment) []assessment {
 	var result []assessment
-	for _, v := range verdicts {
+	for _, v := range list {
 		_, s := b.backends.At(v.position)
 		limit := b.detector.Limit()
 		if s.mode == modeTrial {
@@ -233,15 +233,15 @@
 }
 
 // propose writes a larger set of ejections to the store if the floor allows it.
-func (b *Balancer[E, D, P, L]) propose(verdicts []assessment) {
+func (b *Balancer[E, D, P, L]) propose(list []assessment) {
 	b.refusal = ""
-	if len(verdicts) == 0 {
+	if len(list) == 0 {
 		return
 	}
 	kept := b.keptEjections()
 	allowed := b.ejectionAllowance() - b.countActive(kept)
 	added := false
-	for _, v := range verdicts {
+	for _, v := range list {
 		id, _ := b.backends.At(v.position)
 		if b.hasActive(kept, id) {
 			continue
--- a/balancer/outcome.go
+++ b/balancer/outcome.go
@@ -12,9 +12,9 @@
 // sent at once.
 const (
 	outcomesInterval = 300 * time.Millisecond
-	// crowdedOutcomesInterval replaces it while most slots are in use or requests end
-	// without an answer. The other owners then need the load reported to one instance
-	// sooner.
+	// crowdedOutcomesInterval replaces it while most slots are in use, because the
+	// other owners then need the load reported to this instance sooner. It also
+	// applies to reports of requests that ended without an answer.
 	crowdedOutcomesInterval = 100 * time.Millisecond
 	// crowdedThreshold is the part of the slots in use above which a service is
 	// crowded.
@@ -123,8 +123,8 @@
 	return list
 }
 
-// HearBulletin applies the suspicion list of the owners. An owner applies
-// only the first one after its start, because its own estimates are more recent then.
+// HearBulletin applies the suspicion list of the owners. An owner applies only the
+// first one after its start, because its own estimates are more recent afterwards.
 func (b *Balancer[E, D, P, L]) HearBulletin(now time.Time, m descriptor.Bulletin) {
 	b.advance(now)
 	if b.position >= 0 && b.suspicionsReceived {
@@ -219,14 +219,14 @@
 		if o.Reported && o.Age >= 0 {
 			s = s.WithWork(o.Work, now.Add(-time.Duration(o.Age)*time.Millisecond))
 		}
-		for _, part := range []struct {
+		for _, group := range []struct {
 			count  int
 			failed bool
 			base   float64
 		}{{o.Before, false, 0}, {o.Bad, true, 0}, {o.Late, true, lateFailureBase}, {o.After, false, 0}} {
-			for range min(part.count, maxOutcomes) {
-				s = s.WithOutcome(now, part.failed, part.base)
-				b.recentOutcomes = b.recentOutcomes.WithOutcome(now, part.failed)
+			for range min(group.count, maxOutcomes) {
+				s = s.WithOutcome(now, group.failed, group.base)
+				b.recentOutcomes = b.recentOutcomes.WithOutcome(now, group.failed)
 			}
 		}
 		if m.Relay {
--- a/balancer/share.go
+++ b/balancer/share.go
@@ -93,8 +93,8 @@
 	if b.queued > 0 || b.position < 0 {
 		return
 	}
-	left := min(m.Slots, b.freeSlots()/2)
-	for i := 0; i < b.backends.Len() && left > 0; i++ {
+	remaining := min(m.Slots, b.freeSlots()/2)
+	for i := 0; i < b.backends.Len() && remaining > 0; i++ {
 		id, s := b.backends.At(i)
 		if s.mode != modeReady || s.avoided || b.now.Before(s.leasedOutUntil) || s.limit(b.now)-s.inFlight < 1 {
 			continue
@@ -102,7 +102,7 @@
 		s.leasedOut = 1
 		s.leasedOutUntil = b.now.Add(slotLeaseTime + slotLeaseGrace)
 		b.putBackend(i, s)
-		left--
+		remaining--
 		loan := descriptor.Loan{Service: m.Service, Backend: id, Slots: 1, Millis: slotLeaseTime.Milliseconds()}
 		b.emit(descriptor.Send{To: from, Message: loan})
 	}
--- a/balancer/window.go
+++ b/balancer/window.go
@@ -48,10 +48,10 @@
 // WithOutcome returns w after a request that ended at now.
 func (w window) WithOutcome(now time.Time, failed bool) window {
 	w = w.WithTime(now)
-	part := w.newest % windowSteps
-	w.all[part]++
+	step := w.newest % windowSteps
+	w.all[step]++
 	if failed {
-		w.failed[part]++
+		w.failed[step]++
 	}
 	return w
 }
