--- a/balancer/arrive.go
+++ b/balancer/arrive.go
@@ -266,8 +266,8 @@
 	return [2]*container.Positions{&b.preferred, &b.lastResort}
 }
 
-// putBackend stores the record at position and updates the sets of backend servers with a
-// free slot.
+// putBackend stores the record at position and updates the sets of backend servers
+// with a free slot.
 func (b *Balancer[E, D, P, L]) putBackend(position int, s backend[E]) {
 	b.backends.SetAt(position, s)
 	free := s.inFlight < b.limit(s)
@@ -310,8 +310,9 @@
 	}
 }
 
-// startQueuedPooled starts queued requests of all classes, the most urgent class first. A
-// request that waits for a healthy backend server does not block other classes.
+// startQueuedPooled starts queued requests of all classes, the most urgent class
+// first. A request that waits for a healthy backend server does not block other
+// classes.
 func (b *Balancer[E, D, P, L]) startQueuedPooled() {
 	for _, c := range b.byRank() {
 		for b.queues[c].Len() > 0 && b.preferred.Len()+b.lastResort.Len() > 0 && b.startNext(c) {
--- a/balancer/tick.go
+++ b/balancer/tick.go
@@ -257,7 +257,8 @@
 }
 
 // shouldAbandon reports whether a running request is to be abandoned: after its
-// timeout or deadline, or after many targets. Long work never is.
+// timeout, after its deadline if it is idempotent or outcomes are pooled, or after
+// many targets. Long work never is.
 func (b *Balancer[E, D, P, L]) shouldAbandon(r request) bool {
 	declared := b.classes[r.class].declared
 	if r.count == 0 || r.delivered != 0 || declared.Long {
