--- a/decider/decider.go
+++ b/decider/decider.go
@@ -1,6 +1,6 @@
 // Package decider composes the decisions of an entry instance: one state machine
 // that takes events and returns actions. It does no I/O, reads no clock and
-// encodes no message; the same events give the same actions.
+// encodes no messages. The same events always give the same actions.
 package decider
 
 import (
@@ -23,41 +23,41 @@
 )
 
 const (
-	// watchRole is the name under which the instances that follow the
-	// platform's store are chosen; no service has such a name.
+	// watchRole is the rendezvous key by which the instances that watch the
+	// platform's store are chosen. No service has such a name.
 	watchRole = "~watch"
-	// watchers is the number of those instances.
-	watchers = 3
-	// routedWatchers is that number under a routing, where everyone who misses
-	// their news asks the store.
-	routedWatchers = 2
-	// callersRole is the name under which the instances that callers are sent to
-	// under a routing are chosen.
+	// watcherCount is the number of those instances.
+	watcherCount = 3
+	// routedWatcherCount is that number under a routing. There, every instance
+	// that misses freshness announcements reads the store itself.
+	routedWatcherCount = 2
+	// callersRole is the rendezvous key by which the instances that callers are
+	// sent to under a routing are chosen.
 	callersRole = "~callers"
-	// keptNotes is the number of log events kept for dumps.
-	keptNotes = 64
+	// maxNotes is the number of log events kept for dumps.
+	maxNotes = 64
 )
 
-// Options are the constant parts of a decider.
+// Options are the settings of a decider that do not change.
 type Options struct {
-	// Self is the first record of this instance.
+	// Self is the first member record of this instance.
 	Self descriptor.Member
-	// Seed makes the choices repeatable.
+	// Seed seeds the random choices, which makes them repeatable.
 	Seed uint64
-	// Patience is how long an instance waits for others before it reads the
-	// platform's store itself.
+	// Patience is how long an instance that starts waits for the configuration
+	// from other instances before it reads the platform's store itself.
 	Patience time.Duration
-	// Routing tells that one routing declares all services, every instance
-	// serves all of them, and nothing is written to the store about them.
+	// Routing reports whether one routing declares all services. Every instance
+	// then serves all of them, and nothing about them is written to the store.
 	Routing bool
-	// Retries bounds what all instances together send again, under a routing.
+	// Retries bounds the retries of all instances together, under a routing.
 	Retries retrier.Bounds
-	// Grace is the longest time from being asked to leave until the platform ends
-	// the process; 0 means that it never does.
+	// Grace is the time from the shutdown request until the platform kills the
+	// process; 0 means that it never does.
 	Grace time.Duration
 }
 
-// kinds lists the kinds of documents that come from the store.
+// kinds returns the kinds of documents that are read from the store.
 func (o Options) kinds() []descriptor.Kind {
 	if o.Routing {
 		return []descriptor.Kind{descriptor.KindRouting, descriptor.KindBackends}
@@ -65,7 +65,8 @@
 	return []descriptor.Kind{descriptor.KindService}
 }
 
-// declaration is a declared service and when its revision came into force.
+// declaration is a declared service, its revision, and when that revision was
+// accepted by the platform and came into force here.
 type declaration struct {
 	service  declarer.Service
 	revision uint64
@@ -73,7 +74,7 @@
 	inForce  time.Time
 }
 
-// Decider is the state of one instance. It belongs to one goroutine.
+// Decider is the state of one instance. It must be used by one goroutine only.
 type Decider[E any, D detector.Policy[E], P picker.Policy, L limiter.Policy] struct {
 	options  Options
 	now      time.Time
@@ -88,53 +89,58 @@
 	relayer  *relayer.Relayer
 	// routes is nil unless a routing is in force.
 	routes *declarer.Map
-	// completed holds the kinds of which everything was read from the store.
-	completed *container.Table[descriptor.Kind, bool]
-	// published is the directory that traffic reads.
+	// fullyRead holds the kinds of which all documents were read from the store.
+	fullyRead *container.Table[descriptor.Kind, bool]
+	// published is the directory that the traffic goroutines read.
 	published *descriptor.Directory
-	// declared holds the declaration of each service.
+	// declared holds the declaration of each service by name.
 	declared *container.Table[string, declaration]
-	// served holds each service that this instance serves or finishes.
+	// served holds the balancer of each service that this instance serves, or
+	// whose last requests it finishes.
 	served *container.Table[string, *balancer.Balancer[E, D, P, L]]
 	// requests maps each open request to its service.
 	requests *container.Table[descriptor.RequestID, string]
-	// trails holds the decisions about each open request.
-	trails *container.Table[descriptor.RequestID, []descriptor.Trace]
+	// traces holds the trace entries of each open request.
+	traces *container.Table[descriptor.RequestID, []descriptor.Trace]
 	notes  *container.Ring[descriptor.Note]
 
-	// synced tells that the configuration is known; watching that this
-	// instance follows the platform's store.
+	// synced reports whether the configuration is known, and watching whether
+	// this instance watches the platform's store.
 	synced, watching bool
-	// settled tells that syncedAt is long enough ago to know the other members.
-	settled  bool
-	syncedAt time.Time
-	// memberAt is when a member was first heard of last.
-	memberAt time.Time
-	// dirty tells that the directory changed, and stamped that only its time did.
-	dirty, stamped bool
-	gossipAt       time.Time
-	tallyAt        time.Time
-	publishAt      time.Time
-	digestAt       time.Time
-	// bulletinAt is when the last bulletins went out, and bulletins counts them.
-	bulletinAt time.Time
-	bulletins  uint64
-	quit       leave
+	// membersSettled reports whether the list of members is taken to be complete;
+	// syncedAt is when synced was set.
+	membersSettled bool
+	syncedAt       time.Time
+	// lastMemberAt is when a new member was last added.
+	lastMemberAt time.Time
+	// dirty reports whether the content of the directory changed, and timeDirty
+	// whether only its time did.
+	dirty, timeDirty bool
+	lastGossipAt     time.Time
+	lastTallyAt      time.Time
+	lastPublishAt    time.Time
+	lastDigestAt     time.Time
+	// lastSuspicionsAt is when the last suspicion lists were sent, and
+	// suspicionSequence is the sequence number of the last one.
+	lastSuspicionsAt  time.Time
+	suspicionSequence uint64
+	shutdown          shutdownState
 
 	actions []descriptor.Action
 	ended   []balancer.Ended
 }
 
-// Standard is the decider with the policies of production.
+// Standard is the decider with the production policies.
 type Standard = Decider[detector.Evidence, detector.Sequential, picker.Sampled, limiter.Adaptive]
 
-// Routed is the decider under a routing.
+// Routed is the decider used under a routing.
 type Routed = Decider[detector.Evidence, detector.Sequential, picker.Trusted, limiter.Bounded]
 
 // RoundRobin is the baseline without ejection.
 type RoundRobin = Decider[detector.Nothing, detector.None, picker.RoundRobin, limiter.Open]
 
-// Consecutive is the baseline that ejects after five failures in a row.
+// Consecutive is the baseline that ejects a backend server after five failures in
+// a row.
 type Consecutive = Decider[int, detector.Consecutive, picker.LeastLoaded, limiter.Open]
 
 // New returns the decider of an instance that starts at now.
@@ -148,25 +154,25 @@
 		counter:   counter.New(o.Self),
 		index:     allocator.NewIndex(),
 		relayer:   relayer.New(o.Self),
-		completed: container.NewTable[descriptor.Kind, bool](),
+		fullyRead: container.NewTable[descriptor.Kind, bool](),
 		declared:  container.NewTable[string, declaration](),
 		served:    container.NewTable[string, *balancer.Balancer[E, D, P, L]](),
 		requests:  container.NewTable[descriptor.RequestID, string](),
-		trails:    container.NewTable[descriptor.RequestID, []descriptor.Trace](),
-		notes:     container.NewRing[descriptor.Note](keptNotes),
+		traces:    container.NewTable[descriptor.RequestID, []descriptor.Trace](),
+		notes:     container.NewRing[descriptor.Note](maxNotes),
 		dirty:     true,
 	}
 	d.keeper = keeper.New(o.Self, d.gossiper, d.nextWrite, now)
 	d.writer = counter.NewWriter(o.Self, d.nextWrite)
-	d.index.SetService(watchRole, watchers)
+	d.index.SetService(watchRole, watcherCount)
 	if o.Routing {
-		d.index.SetService(watchRole, routedWatchers)
+		d.index.SetService(watchRole, routedWatcherCount)
 		d.index.SetService(callersRole, allocator.LeastServing)
 	}
 	return d
 }
 
-// NewStandard returns a decider with the policies of production.
+// NewStandard returns a decider with the production policies.
 func NewStandard(o Options, now time.Time) *Standard {
 	return New[detector.Evidence, detector.Sequential, picker.Sampled, limiter.Adaptive](o, now)
 }
@@ -176,11 +182,11 @@
 	return d.writes
 }
 
-// Busy tells whether there are requests that have not ended.
+// Busy reports whether there are open requests.
 func (d *Decider[E, D, P, L]) Busy() bool { return d.requests.Len() > 0 }
 
-// Step takes one event in and returns the actions that follow. The slice is
-// valid until the next call.
+// Step handles one event and returns the actions that follow from it. The slice
+// is valid until the next call.
 func (d *Decider[E, D, P, L]) Step(event descriptor.Event) []descriptor.Action {
 	clear(d.actions)
 	d.actions = d.actions[:0]
@@ -197,31 +203,31 @@
 	case descriptor.Failed:
 		d.onRequest(e.Request, func(s *balancer.Balancer[E, D, P, L]) { s.Failed(e) })
 	case descriptor.Gone:
-		d.gone(e)
+		d.callerGone(e)
 	case descriptor.Probed:
 		d.onService(e.Service, func(s *balancer.Balancer[E, D, P, L]) { s.Probed(e) })
 	case descriptor.Ticked:
 		d.tick()
 	case descriptor.Received:
-		d.receive(e)
+		d.handleMessage(e)
 	case descriptor.LinkOpened:
 		d.gossiper.LinkOpened(e)
 	case descriptor.LinkClosed:
 		d.gossiper.LinkClosed(e)
 		d.spreader.Forget(e.Peer)
 	case descriptor.Learned:
-		d.learn(e)
+		d.learnDocuments(e)
 	case descriptor.Written:
-		d.written(e)
+		d.handleWritten(e)
 	case descriptor.Quit:
 		d.startLeaving()
 	}
-	d.followMembers()
+	d.applyMemberChanges()
 	return d.actions
 }
 
 func (d *Decider[E, D, P, L]) emit(a descriptor.Action) {
-	d.inspect(a)
+	d.recordNote(a)
 	d.actions = append(d.actions, a)
 }
 
@@ -245,7 +251,8 @@
 	}
 }
 
-// onService runs f on a served service and collects what follows.
+// onService calls f with the balancer of a served service and collects its
+// actions.
 func (d *Decider[E, D, P, L]) onService(service string, f func(*balancer.Balancer[E, D, P, L])) {
 	s, ok := d.served.Get(service)
 	if !ok {
@@ -261,17 +268,19 @@
 	}
 }
 
-// collect takes over the actions of a service and the ends of its requests.
+// collect appends the actions of a balancer and closes the requests that it
+// ended. Trace entries are not returned as actions; they are kept until the
+// request ends.
 func (d *Decider[E, D, P, L]) collect(service string, s *balancer.Balancer[E, D, P, L]) {
 	before := len(d.actions)
 	d.actions, d.ended = s.Flush(d.actions, d.ended[:0])
 	kept := d.actions[:before]
 	for _, a := range d.actions[before:] {
 		if t, ok := a.(descriptor.Trace); ok {
-			d.follow(t)
+			d.recordTrace(t)
 			continue
 		}
-		d.inspect(a)
+		d.recordNote(a)
 		kept = append(kept, a)
 	}
 	clear(d.actions[len(kept):])
@@ -280,12 +289,12 @@
 		d.requests.Delete(e.Request)
 		d.counter.End(d.now, service, e.Class, e.Reason, e.Outcome, e.Bytes, e.Latency)
 		d.emitAll(d.keeper.End(e.Request, e.Outcome))
-		d.endTrail(service, e)
+		d.emitTrace(service, e)
 	}
 }
 
-// inspect keeps the notes among the actions.
-func (d *Decider[E, D, P, L]) inspect(a descriptor.Action) {
+// recordNote keeps a for dumps if it is a note.
+func (d *Decider[E, D, P, L]) recordNote(a descriptor.Action) {
 	n, ok := a.(descriptor.Note)
 	if !ok {
 		return
@@ -296,7 +305,8 @@
 	}
 }
 
-// arrive takes a request in.
+// arrive handles a new request: it refuses it, resolves its idempotency key, or
+// admits it.
 func (d *Decider[E, D, P, L]) arrive(e descriptor.Arrived) {
 	known, ok := d.declared.Get(e.Service)
 	if !ok {
@@ -307,7 +317,7 @@
 	d.counter.Receive(e.At, e.Service)
 	s, ok := d.served.Get(e.Service)
 	if !ok {
-		d.refuse(e, d.unserved(declared), descriptor.NotRun, 0)
+		d.refuse(e, d.refusalReason(declared), descriptor.NotRun, 0)
 		return
 	}
 	class, ok := declared.Class(e.Class)
@@ -321,11 +331,12 @@
 	}
 	decision, actions := d.keeper.Begin(e, class.Keyless)
 	d.emitAll(actions)
-	d.settle(keeper.Settled{Arrived: e, Decision: decision})
+	d.resumeRequest(keeper.Settled{Arrived: e, Decision: decision})
 }
 
-// unserved returns the reason to refuse work for a service not served here.
-func (d *Decider[E, D, P, L]) unserved(s declarer.Service) descriptor.Reason {
+// refusalReason returns why work for a service that this instance does not serve
+// is refused.
+func (d *Decider[E, D, P, L]) refusalReason(s declarer.Service) descriptor.Reason {
 	switch {
 	case s.State == declarer.Closing:
 		return descriptor.ServiceClosing
@@ -337,8 +348,8 @@
 	return descriptor.Misdirected
 }
 
-// settle goes on with a request whose key was decided.
-func (d *Decider[E, D, P, L]) settle(s keeper.Settled) {
+// resumeRequest continues with a request whose idempotency key was decided.
+func (d *Decider[E, D, P, L]) resumeRequest(s keeper.Settled) {
 	e := s.Arrived
 	switch s.Decision.Verdict {
 	case keeper.Proceed:
@@ -360,13 +371,13 @@
 	d.collect(e.Service, s)
 }
 
-// refuse ends a request that no balancer knows.
+// refuse ends a request that no balancer has admitted.
 func (d *Decider[E, D, P, L]) refuse(e descriptor.Arrived, reason descriptor.Reason, outcome descriptor.Outcome, retry time.Duration) {
 	d.emit(descriptor.Refuse{Request: e.Request, Reason: reason, Outcome: outcome, Retry: retry})
 	d.counter.End(d.now, e.Service, e.Class, reason, outcome, 0, 0)
 }
 
-func (d *Decider[E, D, P, L]) gone(e descriptor.Gone) {
+func (d *Decider[E, D, P, L]) callerGone(e descriptor.Gone) {
 	if arrived, ok := d.keeper.Forget(e.Request); ok {
 		d.refuse(arrived, descriptor.Abandoned, descriptor.NotRun, 0)
 		return
--- a/decider/decider_test.go
+++ b/decider/decider_test.go
@@ -33,7 +33,8 @@
 	return keeper.TicketOf(m, d.now).String() + "." + unique
 }
 
-// sessions are whole sessions whose events and actions are kept in golden files.
+// sessions are complete sessions whose events and actions are compared with
+// golden files.
 var sessions = []struct {
 	name string
 	play func(*driver)
@@ -85,7 +86,7 @@
 	}
 }
 
-// TestReplay gives recorded events to a new decider: the actions must be the
+// TestReplay feeds recorded events to a new decider. Its actions must be the
 // same, byte for byte.
 func TestReplay(t *testing.T) {
 	for _, s := range sessions {
@@ -130,12 +131,12 @@
 		asserter.True(t, "ready", d.nodes["entry-9"].synced)
 		asserter.True(t, "knows the service", d.nodes["entry-9"].declared.Has("billing"))
 	})
-	t.Run("a new node that knows nobody says that it is starting", func(t *testing.T) {
+	t.Run("a new node that knows no other node is not ready", func(t *testing.T) {
 		d := newDriver(t, 1)
 		d.run(5 * time.Second)
 		asserter.Equal(t, "ready", d.nodes["entry-0"].synced, false)
 	})
-	t.Run("three nodes follow the store", func(t *testing.T) {
+	t.Run("three nodes watch the store", func(t *testing.T) {
 		d := ready(t, 12)
 		watching := 0
 		for _, id := range d.order {
@@ -143,9 +144,9 @@
 				watching++
 			}
 		}
-		asserter.Equal(t, "watching", watching, watchers)
+		asserter.Equal(t, "watching", watching, watcherCount)
 	})
-	t.Run("a node that does not serve reports no tallies", func(t *testing.T) {
+	t.Run("a node that does not serve a service reports no tallies", func(t *testing.T) {
 		d := ready(t, 12)
 		d.run(10 * time.Second)
 		before := d.tallies["billing"]
@@ -159,7 +160,7 @@
 		}
 		asserter.Equal(t, "changed tallies", changed, allocator.LeastServing)
 	})
-	t.Run("a node that does not serve says so", func(t *testing.T) {
+	t.Run("a node that does not serve a service refuses its requests as misdirected", func(t *testing.T) {
 		d := ready(t, 8)
 		for _, id := range d.order {
 			if d.nodes[id].served.Has("billing") {
@@ -182,10 +183,10 @@
 	for i, id := range d.order {
 		request := descriptor.RequestID(20 + i)
 		d.arrive(id, request, "invoice", key)
-		asserter.Equal(t, "again at "+id, d.dispatches(request), 0)
+		asserter.Equal(t, "repeated at "+id, d.dispatches(request), 0)
 		asserter.Equal(t, "refusal", d.refusal(request).Reason, descriptor.KeyUsed)
 	}
-	t.Run("also after the issuer left", func(t *testing.T) {
+	t.Run("the key stays used after its issuer left", func(t *testing.T) {
 		d.step("entry-0", descriptor.Quit{At: d.now})
 		d.run(10 * time.Second)
 		asserter.True(t, "left", d.left["entry-0"])
--- a/decider/documents.go
+++ b/decider/documents.go
@@ -10,70 +10,74 @@
 	"monsoonswitch/gossiper"
 )
 
-// learn takes in documents read from the platform.
-func (d *Decider[E, D, P, L]) learn(e descriptor.Learned) {
+// learnDocuments handles documents read from the platform's store.
+func (d *Decider[E, D, P, L]) learnDocuments(e descriptor.Learned) {
 	d.relayer.Notice(d.now, e.AsOf)
 	for _, document := range e.Documents {
-		d.take(document, "")
+		d.applyDocument(document, "")
 	}
 	if e.Complete {
-		d.completed.Put(e.Kind, true)
+		d.fullyRead.Put(e.Kind, true)
 	}
-	d.confirm(e)
-	if !d.synced && d.complete() {
-		d.sync("store")
+	d.confirmFresh(e)
+	if !d.synced && d.configurationRead() {
+		d.setSynced("store")
 	}
 }
 
-// complete tells whether everything that callers need was read from the store.
-func (d *Decider[E, D, P, L]) complete() bool {
+// configurationRead reports whether everything that is needed to serve callers
+// was read from the store.
+func (d *Decider[E, D, P, L]) configurationRead() bool {
 	for _, k := range d.options.kinds() {
-		if !d.completed.Has(k) {
+		if !d.fullyRead.Has(k) {
 			return false
 		}
 	}
 	return !d.options.Routing || d.routes != nil
 }
 
-// confirm takes in as of when the documents of a kind are the newest ones.
-func (d *Decider[E, D, P, L]) confirm(e descriptor.Learned) {
+// confirmFresh records the time as of which the documents of a kind are the
+// newest.
+func (d *Decider[E, D, P, L]) confirmFresh(e descriptor.Learned) {
 	if e.AsOf.IsZero() {
 		return
 	}
 	d.relayer.Confirm(e.Kind, e.AsOf)
-	d.stamped = true
+	d.timeDirty = true
 }
 
-// sync records that the configuration is known, so that callers may come.
-func (d *Decider[E, D, P, L]) sync(source string) {
+// setSynced records that the configuration is known, so that callers may be sent
+// here.
+func (d *Decider[E, D, P, L]) setSynced(source string) {
 	d.synced = true
 	d.syncedAt = d.now
-	// Traffic must know before others send callers here.
+	// The traffic goroutines need the directory before others send callers here.
 	d.publishNow()
 	d.note(descriptor.NoteReady, d.options.Self.ID, "configuration from "+source)
-	if !d.quit.started {
+	if !d.shutdown.started {
 		d.gossiper.SetReady(d.now, true)
 	}
 }
 
-// take puts a document in force unless the same or a newer revision is.
-func (d *Decider[E, D, P, L]) take(document descriptor.Document, from string) {
+// applyDocument puts a document in force unless the same or a newer revision
+// already is.
+func (d *Decider[E, D, P, L]) applyDocument(document descriptor.Document, from string) {
 	if !d.spreader.Take(document, from) {
 		return
 	}
 	switch document.Kind {
 	case descriptor.KindService:
-		d.declare(document)
+		d.applyDeclaration(document)
 	case descriptor.KindRouting:
-		d.route(document)
+		d.applyRouting(document)
 	case descriptor.KindBackends:
-		d.list(document)
+		d.applyBackends(document)
 	case descriptor.KindEjections:
 		d.onService(document.Name, func(s *balancer.Balancer[E, D, P, L]) { s.Eject(d.now, document) })
 	}
 }
 
-func (d *Decider[E, D, P, L]) declare(document descriptor.Document) {
+func (d *Decider[E, D, P, L]) applyDeclaration(document descriptor.Document) {
 	if document.Service == nil {
 		return
 	}
@@ -85,16 +89,16 @@
 		inForce:  d.now,
 	})
 	d.note(descriptor.NoteRevision, document.Name, revisionText(document.Revision))
-	d.resize(document.Name)
+	d.updateServingCount(document.Name)
 	d.onService(document.Name, func(s *balancer.Balancer[E, D, P, L]) {
 		d.counter.InForce(d.now, document.Name, document.Revision)
 		s.Declare(*document.Service, document.Revision)
 	})
 }
 
-// route puts a routing in force. A service that it does not name any more takes
+// applyRouting puts a routing in force. A service that it no longer names takes
 // no new requests.
-func (d *Decider[E, D, P, L]) route(document descriptor.Document) {
+func (d *Decider[E, D, P, L]) applyRouting(document descriptor.Document) {
 	if document.Routing == nil {
 		return
 	}
@@ -109,31 +113,32 @@
 		}
 	}
 	for i := range services {
-		d.declare(descriptor.Document{
+		d.applyDeclaration(descriptor.Document{
 			Kind:     descriptor.KindService,
 			Name:     services[i].Name,
 			Revision: document.Revision,
 			At:       document.At,
 			Service:  &services[i],
 		})
-		d.assign(services[i].Name)
+		d.updateServing(services[i].Name)
 	}
 	d.routes = declarer.NewMap(*document.Routing)
 	d.publishNow()
 }
 
-func (d *Decider[E, D, P, L]) list(document descriptor.Document) {
-	d.resize(document.Name)
+func (d *Decider[E, D, P, L]) applyBackends(document descriptor.Document) {
+	d.updateServingCount(document.Name)
 	d.onService(document.Name, func(s *balancer.Balancer[E, D, P, L]) { s.List(d.now, document.Backends, d.relayer.MayReturn()) })
 }
 
-// resize sets how many instances serve a service, by the size of the service.
-func (d *Decider[E, D, P, L]) resize(service string) {
+// updateServingCount sets how many instances serve a service, from the slots of
+// its backend servers.
+func (d *Decider[E, D, P, L]) updateServingCount(service string) {
 	if !d.declared.Has(service) {
 		return
 	}
 	if d.options.Routing {
-		d.resizeCallers()
+		d.updateCallerCount()
 		return
 	}
 	document, _ := d.spreader.Get(descriptor.KindBackends, service)
@@ -148,13 +153,13 @@
 		}
 	}
 	if d.index.SetService(service, allocator.Count(total, smallest)) {
-		d.assign(service)
+		d.updateServing(service)
 	}
 }
 
-// resizeCallers sets how many instances callers are sent to, by the slots of all
-// services together.
-func (d *Decider[E, D, P, L]) resizeCallers() {
+// updateCallerCount sets how many instances callers are sent to, from the slots
+// of all services together.
+func (d *Decider[E, D, P, L]) updateCallerCount() {
 	domains := make(map[string]bool)
 	for _, m := range d.gossiper.Members() {
 		if m.State < descriptor.Dead {
@@ -169,45 +174,47 @@
 		}
 	}
 	if d.index.SetService(callersRole, allocator.CallerCount(total, len(domains))) {
-		d.assign(callersRole)
+		d.updateServing(callersRole)
 	}
 }
 
-// assign puts the serving instances of a service in force here.
-func (d *Decider[E, D, P, L]) assign(service string) {
+// updateServing applies the serving instances of a service to its balancer and
+// starts serving it if this instance is one of them.
+func (d *Decider[E, D, P, L]) updateServing(service string) {
 	d.dirty = true
 	if service == watchRole {
 		return
 	}
 	if service == callersRole {
 		for name := range d.declared.All {
-			d.assign(name)
+			d.updateServing(name)
 		}
 		return
 	}
 	if d.options.Routing {
-		d.assignRouted(service)
+		d.updateRoutedServing(service)
 		return
 	}
 	serving := d.index.Get(service)
-	if !d.served.Has(service) && includes(serving, d.options.Self.ID) {
-		d.open(service)
+	if !d.served.Has(service) && containsMember(serving, d.options.Self.ID) {
+		d.startServing(service)
 	}
 	d.onService(service, func(s *balancer.Balancer[E, D, P, L]) { s.Serve(d.now, serving) })
 }
 
-// assignRouted puts the instances that callers are sent to in force as those that
-// share the slots of a service. Every other instance serves it as a guest.
-func (d *Decider[E, D, P, L]) assignRouted(service string) {
+// updateRoutedServing applies the instances that callers are sent to as the slot
+// owners of a service. Every other instance serves it as a non-owner.
+func (d *Decider[E, D, P, L]) updateRoutedServing(service string) {
 	if !d.served.Has(service) {
-		d.open(service)
+		d.startServing(service)
 	}
 	serving := d.index.Get(callersRole)
 	d.onService(service, func(s *balancer.Balancer[E, D, P, L]) { s.Serve(d.now, serving) })
 }
 
-// open creates the state of a service that this instance begins to serve.
-func (d *Decider[E, D, P, L]) open(service string) {
+// startServing creates the balancer of a service that this instance begins to
+// serve.
+func (d *Decider[E, D, P, L]) startServing(service string) {
 	known, ok := d.declared.Get(service)
 	if !ok {
 		return
@@ -231,8 +238,9 @@
 	d.served.Put(service, s)
 }
 
-// retire forgets services that this instance has finished serving.
-func (d *Decider[E, D, P, L]) retire() {
+// removeFinished removes the balancers of services that this instance no longer
+// serves and whose requests have all ended.
+func (d *Decider[E, D, P, L]) removeFinished() {
 	if d.options.Routing {
 		return
 	}
@@ -247,8 +255,9 @@
 	}
 }
 
-// followMembers brings the serving instances in step with the members.
-func (d *Decider[E, D, P, L]) followMembers() {
+// applyMemberChanges updates the index and the serving instances after changes of
+// members.
+func (d *Decider[E, D, P, L]) applyMemberChanges() {
 	actions, changes := d.gossiper.Drain()
 	d.emitAll(actions)
 	if len(changes) > 0 {
@@ -256,15 +265,15 @@
 	}
 	for _, c := range changes {
 		if c.Before.ID == "" {
-			d.memberAt = d.now
+			d.lastMemberAt = d.now
 		}
 		d.noteMember(c)
 		for _, service := range d.reindex(c.After) {
-			d.assign(service)
+			d.updateServing(service)
 		}
 	}
 	if len(changes) > 0 && d.options.Routing {
-		d.resizeCallers()
+		d.updateCallerCount()
 	}
 }
 
@@ -290,7 +299,7 @@
 	}
 }
 
-func includes(list []descriptor.Member, id string) bool {
+func containsMember(list []descriptor.Member, id string) bool {
 	for _, m := range list {
 		if m.ID == id {
 			return true
@@ -299,30 +308,30 @@
 	return false
 }
 
-// directory builds the snapshot that traffic reads. Without changes other than
-// of its time it shares everything with the one before.
-func (d *Decider[E, D, P, L]) directory() *descriptor.Directory {
+// buildDirectory builds the snapshot that the traffic goroutines read. If only
+// its time changed, it shares everything else with the snapshot before.
+func (d *Decider[E, D, P, L]) buildDirectory() *descriptor.Directory {
 	next := &descriptor.Directory{}
 	if d.published != nil && !d.dirty {
 		*next = *d.published
 	} else {
 		services := make(map[string]*descriptor.Entry, d.declared.Len())
 		for name, s := range d.declared.All {
-			services[name] = d.entry(name, s)
+			services[name] = d.directoryEntry(name, s)
 		}
 		next.Services = services
 		next.Routes = d.routes
 		next.Callers = d.index.Get(callersRole)
 	}
 	next.Ready = d.synced
-	next.Leaving = d.quit.started
-	next.Settled = d.options.Routing && d.settled
+	next.Leaving = d.shutdown.started
+	next.Settled = d.options.Routing && d.membersSettled
 	next.Current = d.relayer.Current(d.options.kinds())
 	d.published = next
 	return next
 }
 
-func (d *Decider[E, D, P, L]) entry(name string, known declaration) *descriptor.Entry {
+func (d *Decider[E, D, P, L]) directoryEntry(name string, known declaration) *descriptor.Entry {
 	serving := d.index.Get(name)
 	if d.options.Routing {
 		serving = d.index.Get(callersRole)
@@ -331,6 +340,6 @@
 		Service:  known.service,
 		Revision: known.revision,
 		Serving:  serving,
-		Here:     includes(serving, d.options.Self.ID),
+		Here:     containsMember(serving, d.options.Self.ID),
 	}
 }
--- a/decider/driver_test.go
+++ b/decider/driver_test.go
@@ -15,11 +15,10 @@
 	"monsoonswitch/descriptor"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
+var update = flag.Bool("update", false, "rewrite the golden files")
 
-// driver runs deciders in memory with fake time: a second front end beside the
-// one that serves HTTP. Messages, writes and answers take no time of their own;
-// they are carried between ticks.
+// driver runs deciders in memory with a simulated clock. It is a second front end
+// beside the HTTP one. Messages, writes and answers take no simulated time.
 type driver struct {
 	t        *testing.T
 	now      time.Time
@@ -34,7 +33,7 @@
 	// log holds every event and action of the first node as text.
 	log      strings.Builder
 	recorded []descriptor.Event
-	// runs counts the dispatches by request.
+	// dispatched and refused list the decisions about requests.
 	dispatched []descriptor.Dispatch
 	refused    []descriptor.Refuse
 	writes     []descriptor.Action
@@ -89,8 +88,8 @@
 	}
 }
 
-// configure puts a declaration and a list of backend servers into the store and
-// tells one node, as if it watched.
+// configure builds a declaration and a list of backend servers and gives them to
+// one node, as if that node had read them from the store.
 func (d *driver) configure(to string, state declarer.State, backends int) {
 	d.revision++
 	s := testDeclaration(state)
@@ -103,7 +102,7 @@
 	d.step(to, descriptor.Learned{At: d.now, Documents: documents, Complete: true, Kind: descriptor.KindService})
 }
 
-// step gives one event to a node and carries out what follows.
+// step gives one event to a node and executes the actions that follow.
 func (d *driver) step(id string, e descriptor.Event) {
 	node := d.nodes[id]
 	if node == nil || d.left[id] {
@@ -165,7 +164,7 @@
 	d.step(to, descriptor.LinkOpened{At: d.now, Peer: a})
 }
 
-// put is the store: compare-and-swap.
+// put executes a write to the simulated store by compare-and-swap.
 func (d *driver) put(a descriptor.Write) descriptor.Written {
 	e := descriptor.Written{At: d.now, Write: a.Write}
 	key := a.Document.Kind.String() + "/" + a.Document.Name
@@ -217,7 +216,7 @@
 	return e
 }
 
-// run ticks every node for a while.
+// run advances the clock by span and ticks every node each 50 ms.
 func (d *driver) run(span time.Duration) {
 	for end := d.now.Add(span); d.now.Before(end); {
 		d.now = d.now.Add(50 * time.Millisecond)
@@ -274,7 +273,7 @@
 	return descriptor.Refuse{Reason: -1}
 }
 
-// golden compares text with a file.
+// golden compares got with a golden file line by line.
 func golden(t *testing.T, name, got string) {
 	t.Helper()
 	path := filepath.Join("testdata", name+".golden")
--- a/decider/dump.go
+++ b/decider/dump.go
@@ -11,8 +11,8 @@
 	dump := descriptor.Dump{
 		At:        now,
 		Instance:  d.gossiper.Self(),
-		Ready:     d.synced && !d.quit.started,
-		Leaving:   d.quit.started,
+		Ready:     d.synced && !d.shutdown.started,
+		Leaving:   d.shutdown.started,
 		Watching:  d.watching,
 		Links:     d.gossiper.Links(),
 		Members:   d.gossiper.Members(),
--- a/decider/leave.go
+++ b/decider/leave.go
@@ -7,101 +7,107 @@
 	"monsoonswitch/descriptor"
 )
 
-// Times of a shutdown.
+// Time limits of a shutdown.
 const (
-	// lingerTime is how long callers with old addresses are told where to go.
-	lingerTime = 2500 * time.Millisecond
-	// tallyWait is the longest wait for the last tallies to be confirmed.
-	tallyWait = 5 * time.Second
-	// gracePart is the part of the grace time that a shutdown may use.
-	gracePart = 0.93
-	// farewellTime is how long the last messages have to go out.
-	farewellTime = 300 * time.Millisecond
+	// redirectTime is the least time for which callers that use an old address
+	// are redirected.
+	redirectTime = 2500 * time.Millisecond
+	// tallyTimeout is the longest wait for the last tallies to be confirmed.
+	tallyTimeout = 5 * time.Second
+	// usableGraceShare is the share of the grace time that a shutdown may use.
+	usableGraceShare = 0.93
+	// finalSendTime is how long the last messages have to be sent.
+	finalSendTime = 300 * time.Millisecond
 )
 
-// leave is the progress of a shutdown.
-type leave struct {
+// shutdownState is the progress of a shutdown.
+type shutdownState struct {
 	started bool
 	at      time.Time
 	// idleAt is when the last request ended; zero while requests are open.
 	idleAt time.Time
-	// bequeathed tells that the keys were handed over, at bequeathedAt.
-	bequeathed   bool
-	bequeathedAt time.Time
+	// handedOver reports whether the idempotency keys were handed over, at
+	// handedOverAt.
+	handedOver   bool
+	handedOverAt time.Time
 	done         bool
 }
 
-// startLeaving takes this instance out of the address answers.
+// startLeaving removes this instance from the addresses given to callers.
 func (d *Decider[E, D, P, L]) startLeaving() {
-	if d.quit.started {
+	if d.shutdown.started {
 		return
 	}
-	d.quit = leave{started: true, at: d.now}
+	d.shutdown = shutdownState{started: true, at: d.now}
 	d.note(descriptor.NoteLeaving, d.options.Self.ID, "takes no new callers")
 	d.gossiper.SetReady(d.now, false)
 	d.dirty = true
 }
 
-// leaveStep takes the next step of a shutdown that is due: finish every request,
-// have the last tallies confirmed, hand the keys over, say goodbye.
-func (d *Decider[E, D, P, L]) leaveStep() {
-	q := &d.quit
-	if !q.started || q.done {
+// advanceShutdown takes the next step of a shutdown when it is possible: finish
+// every request, have the last tallies confirmed, hand the keys over, and leave
+// once the last messages had time to be sent.
+func (d *Decider[E, D, P, L]) advanceShutdown() {
+	s := &d.shutdown
+	if !s.started || s.done {
 		return
 	}
-	if d.options.Grace > 0 && d.now.Sub(q.at) >= time.Duration(gracePart*float64(d.options.Grace)) {
-		// What is still open would end with the process anyway.
-		q.done = true
+	if d.options.Grace > 0 && d.now.Sub(s.at) >= time.Duration(usableGraceShare*float64(d.options.Grace)) {
+		// The platform is about to kill the process, which ends all open
+		// requests.
+		s.done = true
 		d.gossiper.Leave(d.now, "")
 		d.emit(descriptor.Leave{})
 		return
 	}
-	if d.requests.Len() > 0 || d.keeper.Waiting() > 0 || d.now.Sub(q.at) < lingerTime {
+	if d.requests.Len() > 0 || d.keeper.Waiting() > 0 || d.now.Sub(s.at) < redirectTime {
 		return
 	}
-	if q.idleAt.IsZero() {
-		q.idleAt = d.now
+	if s.idleAt.IsZero() {
+		s.idleAt = d.now
 		d.counter.Finish()
 	}
-	if d.tallies() > 0 && d.now.Sub(q.idleAt) < tallyWait {
+	if d.unconfirmedTallies() > 0 && d.now.Sub(s.idleAt) < tallyTimeout {
 		return
 	}
-	if !q.bequeathed {
-		d.bequeath()
+	if !s.handedOver {
+		d.handOverKeys()
 		return
 	}
-	if d.now.Sub(q.bequeathedAt) >= farewellTime {
-		q.done = true
+	if d.now.Sub(s.handedOverAt) >= finalSendTime {
+		s.done = true
 		d.emit(descriptor.Leave{})
 	}
 }
 
-// tallies counts the tallies that are not confirmed. Under a routing none are
-// kept in the store.
-func (d *Decider[E, D, P, L]) tallies() int {
+// unconfirmedTallies returns the number of tallies that are not confirmed to be
+// in the store. Under a routing it is 0, since none are stored.
+func (d *Decider[E, D, P, L]) unconfirmedTallies() int {
 	if d.options.Routing {
 		return 0
 	}
 	return d.counter.Unconfirmed() + d.writer.Unwritten()
 }
 
-func (d *Decider[E, D, P, L]) bequeath() {
-	d.quit.bequeathed = true
-	d.quit.bequeathedAt = d.now
-	if n := d.tallies(); n > 0 {
+func (d *Decider[E, D, P, L]) handOverKeys() {
+	d.shutdown.handedOver = true
+	d.shutdown.handedOverAt = d.now
+	if n := d.unconfirmedTallies(); n > 0 {
 		d.note(descriptor.NoteTallyLate, d.options.Self.ID, "tallies not confirmed at shutdown")
 	} else {
 		d.note(descriptor.NoteTallyFinal, d.options.Self.ID, "all tallies confirmed")
 	}
-	heir, ok := d.heir()
+	next, ok := d.successor()
 	if ok {
-		d.emitAll(d.keeper.Bequeath(heir))
+		d.emitAll(d.keeper.Bequeath(next))
 	}
-	d.gossiper.Leave(d.now, heir.ID)
+	d.gossiper.Leave(d.now, next.ID)
 }
 
-// heir returns the instance that takes the keys over.
-func (d *Decider[E, D, P, L]) heir() (descriptor.Member, bool) {
+// successor returns the instance that the idempotency keys are handed over to.
+// The prefix of the rendezvous key is fixed, because a change of it would choose
+// other instances.
+func (d *Decider[E, D, P, L]) successor() (descriptor.Member, bool) {
 	var ready []descriptor.Member
 	for _, m := range d.gossiper.Members() {
 		if m.Ready && m.State == descriptor.Alive && m.ID != d.options.Self.ID {
--- a/decider/receive.go
+++ b/decider/receive.go
@@ -8,8 +8,8 @@
 	"monsoonswitch/descriptor"
 )
 
-// receive takes in a message from another instance.
-func (d *Decider[E, D, P, L]) receive(e descriptor.Received) {
+// handleMessage handles a message from another instance.
+func (d *Decider[E, D, P, L]) handleMessage(e descriptor.Received) {
 	d.gossiper.Heard(e.At, e.From)
 	from, ok := d.gossiper.Member(e.From)
 	if !ok {
@@ -19,31 +19,31 @@
 	case descriptor.Members:
 		d.gossiper.HearMembers(e.At, e.From, m)
 	case descriptor.Digest:
-		d.hearDigest(from, m)
+		d.handleDigest(from, m)
 	case descriptor.References:
-		d.hearReferences(from, m)
+		d.handleReferences(from, m)
 	case descriptor.Documents:
 		for _, document := range m.List {
-			d.take(document, e.From)
+			d.applyDocument(document, e.From)
 		}
 		d.relayer.Settle("", d.spreader.Digest().Fold())
-		d.stamped = true
+		d.timeDirty = true
 	case descriptor.Refresh:
 		for _, part := range d.spreader.Answer(m) {
 			d.send(from, part)
 		}
 	case descriptor.Pulse:
-		d.hearPulse(from, m)
+		d.handleFreshness(from, m)
 	case descriptor.Bulletin:
-		d.hearBulletin(m)
+		d.handleSuspicions(m)
 	case descriptor.TallyReport:
 		d.writer.Merge(m.Tally)
 	case descriptor.Receipt:
 		d.counter.Confirm(m)
 	case descriptor.Claim, descriptor.Verdict, descriptor.Settle, descriptor.Inherit:
-		d.receiveKey(from, m)
+		d.handleKeyMessage(from, m)
 	default:
-		d.receiveService(from, m)
+		d.handleServiceMessage(from, m)
 	}
 }
 
@@ -51,9 +51,10 @@
 	d.emit(descriptor.Send{To: to, Message: m})
 }
 
-// hearDigest brings two instances in step. An instance that is not ready yet is
-// answered at once, and learns from the digest that follows that it has it all.
-func (d *Decider[E, D, P, L]) hearDigest(from descriptor.Member, m descriptor.Digest) {
+// handleDigest compares a digest with the documents held and answers with the
+// differences. An instance that is not ready gets its answer at once, followed by
+// a digest from which it learns that nothing is missing.
+func (d *Decider[E, D, P, L]) handleDigest(from descriptor.Member, m descriptor.Digest) {
 	d.gossiper.HearDigest(from.ID, m.Members)
 	for _, part := range d.spreader.HearDigest(from.ID, m.Documents, !from.Ready || m.Urgent) {
 		d.send(from, part)
@@ -63,31 +64,32 @@
 	}
 	same := d.spreader.Digest().Differ(m.Documents) == 0 && (!d.options.Routing || d.routes != nil)
 	if !d.synced && from.Ready && same {
-		d.sync(from.ID)
+		d.setSynced(from.ID)
 	}
 }
 
-// hearPulse takes in a pulse, passes it on, and asks its sender for the documents
-// that it is about unless they are held.
-func (d *Decider[E, D, P, L]) hearPulse(from descriptor.Member, m descriptor.Pulse) {
+// handleFreshness handles a freshness announcement: it forwards it, and sends a
+// digest to its sender if the announced documents are not all held.
+func (d *Decider[E, D, P, L]) handleFreshness(from descriptor.Member, m descriptor.Pulse) {
 	next, ok := d.relayer.Hear(d.now, m)
 	if !ok {
 		return
 	}
 	d.relayer.Notice(d.now, d.now.Add(-time.Duration(m.Age)*time.Millisecond))
-	d.relay(next)
+	d.forwardFreshness(next)
 	if d.relayer.Settle(m.Origin, d.spreader.Digest().Fold()) {
 		d.send(from, descriptor.Digest{Members: d.gossiper.Digest(), Documents: d.spreader.Digest(), Urgent: true})
 	}
-	d.stamped = true
+	d.timeDirty = true
 }
 
-// hearBulletin takes in which backend servers are in doubt and passes it on.
-func (d *Decider[E, D, P, L]) hearBulletin(m descriptor.Bulletin) {
+// handleSuspicions forwards a suspicion list and gives it to the balancer of its
+// service.
+func (d *Decider[E, D, P, L]) handleSuspicions(m descriptor.Bulletin) {
 	if !d.relayer.Newer("bulletin/"+m.Service+"/"+m.Origin, m.Incarnation, m.Sequence) {
 		return
 	}
-	d.spreadOut(m.Origin, m)
+	d.sendToChildren(m.Origin, m)
 	d.onService(m.Service, func(s *balancer.Balancer[E, D, P, L]) { s.HearBulletin(d.now, m) })
 }
 
@@ -95,7 +97,7 @@
 	d.send(to, descriptor.Digest{Members: d.gossiper.Digest(), Documents: d.spreader.Digest()})
 }
 
-func (d *Decider[E, D, P, L]) hearReferences(from descriptor.Member, m descriptor.References) {
+func (d *Decider[E, D, P, L]) handleReferences(from descriptor.Member, m descriptor.References) {
 	want, have := d.spreader.Compare(d.now, m)
 	if len(want.List) > 0 {
 		d.send(from, want)
@@ -105,8 +107,8 @@
 	}
 }
 
-// receiveKey handles the messages about idempotency keys.
-func (d *Decider[E, D, P, L]) receiveKey(from descriptor.Member, message descriptor.Message) {
+// handleKeyMessage handles the messages about idempotency keys.
+func (d *Decider[E, D, P, L]) handleKeyMessage(from descriptor.Member, message descriptor.Message) {
 	switch m := message.(type) {
 	case descriptor.Claim:
 		d.emitAll(d.keeper.HearClaim(d.now, from, m))
@@ -114,7 +116,7 @@
 		settled, ok, actions := d.keeper.HearVerdict(from, m)
 		d.emitAll(actions)
 		if ok {
-			d.settle(settled)
+			d.resumeRequest(settled)
 		}
 	case descriptor.Settle:
 		d.keeper.HearSettle(from.ID, m)
@@ -123,9 +125,9 @@
 	}
 }
 
-// receiveService handles the messages between the serving instances of a
+// handleServiceMessage handles the messages between the serving instances of a
 // service.
-func (d *Decider[E, D, P, L]) receiveService(from descriptor.Member, message descriptor.Message) {
+func (d *Decider[E, D, P, L]) handleServiceMessage(from descriptor.Member, message descriptor.Message) {
 	switch m := message.(type) {
 	case descriptor.Outcomes:
 		d.onService(m.Service, func(s *balancer.Balancer[E, D, P, L]) { s.HearOutcomes(d.now, m) })
@@ -142,10 +144,10 @@
 	}
 }
 
-// written takes in the end of a write to the store.
-func (d *Decider[E, D, P, L]) written(e descriptor.Written) {
+// handleWritten handles the result of a write to the store.
+func (d *Decider[E, D, P, L]) handleWritten(e descriptor.Written) {
 	if settled, ok := d.keeper.Written(e); ok {
-		d.settle(settled)
+		d.resumeRequest(settled)
 		return
 	}
 	if receipts, ok := d.writer.Written(e); ok {
@@ -153,15 +155,16 @@
 			d.sendReceipt(r.Instance, r.Receipt)
 		}
 		if e.Result == descriptor.WriteConflict {
-			// Waiting for the next tick would lose against another writer again:
-			// a fleet that leaves all at once has as many writers as instances.
+			// Retry now: waiting for the next tick would lose against another
+			// writer again, because a fleet that leaves all at once has as many
+			// writers as instances.
 			d.emitAll(d.writer.Due(d.now, d.declared.Len()))
 		}
 		return
 	}
 	for service, s := range d.served.All {
 		if s.Proposed(e.Write) {
-			d.ejectionWritten(service, s, e)
+			d.handleEjectionsWritten(service, s, e)
 			return
 		}
 	}
@@ -177,8 +180,9 @@
 	}
 }
 
-// ejectionWritten puts a written set of ejections in force and spreads it.
-func (d *Decider[E, D, P, L]) ejectionWritten(service string, s *balancer.Balancer[E, D, P, L], e descriptor.Written) {
+// handleEjectionsWritten puts a written set of ejections in force and distributes
+// it.
+func (d *Decider[E, D, P, L]) handleEjectionsWritten(service string, s *balancer.Balancer[E, D, P, L], e descriptor.Written) {
 	document, ok := s.Written(e)
 	if ok {
 		d.spreader.Take(document, "")
--- a/decider/routed_test.go
+++ b/decider/routed_test.go
@@ -13,28 +13,30 @@
 	"monsoonswitch/picker"
 )
 
-// routedFleet runs deciders under a routing in memory with fake time. Those that
-// are told to follow the store read it every 0.3 s.
+// routedFleet runs deciders under a routing in memory with a simulated clock.
+// Nodes that watch the store read it every 0.3 s.
 type routedFleet struct {
 	nodes   map[string]*Routed
 	order   []string
 	now     time.Time
 	linked  map[[2]string]bool
 	watches map[string]bool
-	// version is that of the routing in the store, revision that of its list.
+	// version is that of the routing in the store, revision that of its backend
+	// list.
 	version, revision uint64
-	// silent holds the nodes whose links carry nothing, without a reset.
-	silent map[string]bool
-	// away tells that the store is away.
-	away  bool
-	calls int
-	ticks int
+	// partitioned holds the nodes whose messages are dropped while their links
+	// stay open.
+	partitioned map[string]bool
+	// storeDown reports whether the store is unavailable.
+	storeDown bool
+	calls     int
+	ticks     int
 }
 
 func newRoutedFleet(n int) *routedFleet {
 	f := &routedFleet{
 		nodes: make(map[string]*Routed), now: time.Date(2026, 3, 1, 0, 0, 0, 0, time.UTC),
-		linked: make(map[[2]string]bool), watches: make(map[string]bool), silent: make(map[string]bool), version: 1, revision: 1,
+		linked: make(map[[2]string]bool), watches: make(map[string]bool), partitioned: make(map[string]bool), version: 1, revision: 1,
 	}
 	for i := range n {
 		f.add(fmt.Sprintf("entry-%d", i), []string{"worcester", "providence", "portsmouth"}[i%3])
@@ -70,7 +72,7 @@
 				f.link(id, p.ID)
 			}
 		case descriptor.Send:
-			if f.nodes[a.To.ID] != nil && !f.silent[id] && !f.silent[a.To.ID] {
+			if f.nodes[a.To.ID] != nil && !f.partitioned[id] && !f.partitioned[a.To.ID] {
 				f.step(a.To.ID, descriptor.Received{At: f.now, From: id, Message: a.Message})
 			}
 		case descriptor.Watch:
@@ -79,7 +81,7 @@
 	}
 }
 
-// routingOf returns the configuration of a version: one route more for each.
+// routingOf returns the routing of a version; it has one route for each version.
 func routingOf(version uint64) declarer.Routing {
 	r := declarer.Routing{Version: version}
 	for i := range version {
@@ -91,7 +93,7 @@
 	return r
 }
 
-// read lets a node read the store.
+// read makes a node read the store.
 func (f *routedFleet) read(id string, version uint64) {
 	f.calls++
 	routing := routingOf(version)
@@ -108,7 +110,7 @@
 		f.now = f.now.Add(50 * time.Millisecond)
 		f.ticks++
 		for _, id := range f.order {
-			if f.watches[id] && !f.away && f.ticks%6 == 0 {
+			if f.watches[id] && !f.storeDown && f.ticks%6 == 0 {
 				f.read(id, f.version)
 			}
 			f.step(id, descriptor.Ticked{At: f.now})
@@ -116,8 +118,8 @@
 	}
 }
 
-// following counts the nodes that read the store.
-func (f *routedFleet) following() int {
+// watching returns the number of nodes that watch the store.
+func (f *routedFleet) watching() int {
 	n := 0
 	for _, active := range f.watches {
 		if active {
@@ -127,7 +129,7 @@
 	return n
 }
 
-// inForce returns the version that a node serves by.
+// inForce returns the version of the routing that a node uses.
 func (f *routedFleet) inForce(id string) uint64 {
 	if r := f.nodes[id].routes; r != nil {
 		return r.Routing().Version
@@ -136,10 +138,10 @@
 }
 
 func TestRoutedFleet(t *testing.T) {
-	t.Run("few follow the store, and the others stay current", func(t *testing.T) {
+	t.Run("few nodes watch the store and the others stay current", func(t *testing.T) {
 		f := newRoutedFleet(24)
 		f.run(5 * time.Second)
-		asserter.AtMost(t, "following", f.following(), routedWatchers)
+		asserter.AtMost(t, "watching", f.watching(), routedWatcherCount)
 		for _, id := range f.order {
 			age := f.now.Sub(f.nodes[id].relayer.Current(f.nodes[id].options.kinds()))
 			asserter.AtMost(t, "age at "+id, age, 1200*time.Millisecond)
@@ -154,24 +156,24 @@
 			asserter.Equal(t, id, f.inForce(id), uint64(5))
 		}
 	})
-	t.Run("also at one whose links are silent", func(t *testing.T) {
+	t.Run("a version reaches nodes whose messages are dropped within two seconds", func(t *testing.T) {
 		f := newRoutedFleet(12)
 		f.run(2 * time.Second)
 		for _, id := range f.order[4:8] {
-			f.silent[id] = true
+			f.partitioned[id] = true
 		}
 		f.version = 6
 		f.run(1900 * time.Millisecond)
 		for _, id := range f.order {
 			asserter.Equal(t, id, f.inForce(id), uint64(6))
 		}
-		t.Run("which stops asking when they speak again", func(t *testing.T) {
-			clear(f.silent)
+		t.Run("nodes stop watching when messages arrive again", func(t *testing.T) {
+			clear(f.partitioned)
 			f.run(6 * time.Second)
-			asserter.AtMost(t, "following", f.following(), routedWatchers)
+			asserter.AtMost(t, "watching", f.watching(), routedWatcherCount)
 		})
 	})
-	t.Run("an older version is never taken", func(t *testing.T) {
+	t.Run("an older version is never put in force", func(t *testing.T) {
 		f := newRoutedFleet(6)
 		f.version = 9
 		f.run(2 * time.Second)
@@ -181,16 +183,16 @@
 			asserter.Equal(t, id, f.inForce(id), uint64(9))
 		}
 	})
-	t.Run("one that starts while the store is away learns from the others", func(t *testing.T) {
+	t.Run("a node that starts while the store is down learns from the others", func(t *testing.T) {
 		f := newRoutedFleet(6)
 		f.run(2 * time.Second)
-		f.away = true
+		f.storeDown = true
 		f.add("entry-new", "worcester")
 		f.run(3 * time.Second)
 		asserter.Equal(t, "version", f.inForce("entry-new"), uint64(1))
 		asserter.True(t, "ready", f.nodes["entry-new"].published.Ready)
 	})
-	t.Run("callers are named two instances of each domain, by all alike", func(t *testing.T) {
+	t.Run("all nodes send callers to the same two instances of each domain", func(t *testing.T) {
 		f := newRoutedFleet(12)
 		f.run(2 * time.Second)
 		want := f.nodes[f.order[0]].published.Callers
@@ -204,7 +206,7 @@
 			}
 		}
 	})
-	t.Run("one that just started names nobody", func(t *testing.T) {
+	t.Run("a node that just started redirects no callers", func(t *testing.T) {
 		f := newRoutedFleet(6)
 		f.add("entry-new", "worcester")
 		f.read("entry-new", f.version)
--- a/decider/tick.go
+++ b/decider/tick.go
@@ -8,52 +8,54 @@
 	"monsoonswitch/relayer"
 )
 
-// Times of periodic work.
+// Intervals of periodic work.
 const (
-	gossipEvery  = 200 * time.Millisecond
-	tallyEvery   = 500 * time.Millisecond
-	publishEvery = 50 * time.Millisecond
-	// digestEvery is the time between digests of an instance that is not ready.
-	digestEvery = 500 * time.Millisecond
+	gossipInterval  = 200 * time.Millisecond
+	tallyInterval   = 500 * time.Millisecond
+	publishInterval = 50 * time.Millisecond
+	// digestInterval is the time between digests of an instance that is not
+	// ready.
+	digestInterval = 500 * time.Millisecond
 )
 
-// tick does everything that depends on time alone.
+// tick does all work that depends on time alone.
 func (d *Decider[E, D, P, L]) tick() {
 	for _, settled := range d.keeper.Tick(d.now) {
-		d.settle(settled)
+		d.resumeRequest(settled)
 	}
 	for i := range d.served.Len() {
 		service, s := d.served.At(i)
 		s.Tick(d.now)
 		d.collect(service, s)
 	}
-	d.spread()
-	d.pulse()
+	d.announceDocuments()
+	d.sendFreshness()
 	d.gossiper.Flush()
-	if d.now.Sub(d.gossipAt) >= gossipEvery {
-		d.gossipAt = d.now
+	if d.now.Sub(d.lastGossipAt) >= gossipInterval {
+		d.lastGossipAt = d.now
 		d.gossiper.Tick(d.now, d.spreader.Digest())
-		d.askForSync()
-		d.retire()
-		d.followStore()
-		d.announceDoubts()
+		d.requestSync()
+		d.removeFinished()
+		d.updateWatching()
+		d.sendSuspicions()
 	}
-	if d.now.Sub(d.tallyAt) >= tallyEvery {
-		d.tallyAt = d.now
-		d.tally()
+	if d.now.Sub(d.lastTallyAt) >= tallyInterval {
+		d.lastTallyAt = d.now
+		d.reportTallies()
 	}
-	d.settleMembers()
-	d.leaveStep()
+	d.updateMembersSettled()
+	d.advanceShutdown()
 	d.publish()
 }
 
-// spread announces fresh documents over all links.
-func (d *Decider[E, D, P, L]) spread() {
+// announceDocuments sends references to newly stored documents over all links.
+func (d *Decider[E, D, P, L]) announceDocuments() {
 	if !d.spreader.HasFresh() {
 		return
 	}
 	if d.options.Routing {
-		// Pulses tell of changes, and whoever lacks them asks.
+		// Freshness announcements carry a sum of all documents, and an instance
+		// whose sum differs asks for what it lacks.
 		d.spreader.DropFresh()
 		return
 	}
@@ -64,12 +66,12 @@
 	}
 }
 
-// askForSync sends digests until the configuration is known.
-func (d *Decider[E, D, P, L]) askForSync() {
-	if d.synced || d.now.Sub(d.digestAt) < digestEvery {
+// requestSync sends digests until the configuration is known.
+func (d *Decider[E, D, P, L]) requestSync() {
+	if d.synced || d.now.Sub(d.lastDigestAt) < digestInterval {
 		return
 	}
-	d.digestAt = d.now
+	d.lastDigestAt = d.now
 	for _, id := range d.gossiper.Links() {
 		if m, ok := d.gossiper.Member(id); ok {
 			d.sendDigest(m)
@@ -77,15 +79,17 @@
 	}
 }
 
-// followStore decides whether this instance follows the platform's store: a few
-// chosen ones do, and one that found no others for a while.
-func (d *Decider[E, D, P, L]) followStore() {
-	chosen := includes(d.index.Get(watchRole), d.options.Self.ID)
+// updateWatching decides whether this instance watches the platform's store. The
+// few chosen by rendezvous do. So does an instance that started and did not get
+// the configuration from others in time, or under a routing one that misses
+// freshness announcements.
+func (d *Decider[E, D, P, L]) updateWatching() {
+	chosen := containsMember(d.index.Get(watchRole), d.options.Self.ID)
 	alone := !d.synced && d.now.Sub(d.started) >= d.options.Patience
 	if d.options.Routing && d.synced {
 		alone = d.relayer.Stale(d.now, d.options.kinds())
 	}
-	active := (chosen || alone) && !d.quit.started
+	active := (chosen || alone) && !d.shutdown.started
 	if active == d.watching {
 		return
 	}
@@ -96,56 +100,59 @@
 	}
 }
 
-// pulse tells the other instances that nothing newer is in the store, if this
-// one follows it.
-func (d *Decider[E, D, P, L]) pulse() {
+// sendFreshness announces to the other instances that the store has nothing
+// newer, if this instance watches the store.
+func (d *Decider[E, D, P, L]) sendFreshness() {
 	if !d.options.Routing || !d.watching || !d.synced {
 		return
 	}
 	p, ok := d.relayer.Pulse(d.now, d.options.kinds(), d.spreader.Digest().Fold())
 	if ok {
-		d.relay(p)
+		d.forwardFreshness(p)
 	}
 }
 
-// relay passes a pulse on to this instance's part of the tree.
-func (d *Decider[E, D, P, L]) relay(p descriptor.Pulse) {
-	d.spreadOut(p.Origin, p)
+// forwardFreshness forwards a freshness announcement to this instance's children
+// in the distribution tree.
+func (d *Decider[E, D, P, L]) forwardFreshness(p descriptor.Pulse) {
+	d.sendToChildren(p.Origin, p)
 }
 
-// spreadOut passes a message on to this instance's part of the tree of an origin.
-func (d *Decider[E, D, P, L]) spreadOut(origin string, message descriptor.Message) {
+// sendToChildren forwards a message to this instance's children in the
+// distribution tree of its origin.
+func (d *Decider[E, D, P, L]) sendToChildren(origin string, message descriptor.Message) {
 	for _, m := range relayer.Children(d.options.Self.ID, origin, d.gossiper.Members()) {
 		d.send(m, message)
 	}
 }
 
-// bulletinEvery is the time between bulletins about a service.
-const bulletinEvery = time.Second
+// suspicionInterval is the time between suspicion lists about a service.
+const suspicionInterval = time.Second
 
-// announceDoubts tells all instances which backend servers are in doubt, if this
-// is the first of those that share the slots.
-func (d *Decider[E, D, P, L]) announceDoubts() {
+// sendSuspicions sends the list of suspected backend servers of each service to
+// all instances, if this instance is the first slot owner.
+func (d *Decider[E, D, P, L]) sendSuspicions() {
 	callers := d.index.Get(callersRole)
-	if !d.options.Routing || d.now.Sub(d.bulletinAt) < bulletinEvery || len(callers) == 0 || callers[0].ID != d.options.Self.ID {
+	if !d.options.Routing || d.now.Sub(d.lastSuspicionsAt) < suspicionInterval || len(callers) == 0 || callers[0].ID != d.options.Self.ID {
 		return
 	}
-	d.bulletinAt = d.now
+	d.lastSuspicionsAt = d.now
 	for service, s := range d.served.All {
-		d.bulletins++
+		d.suspicionSequence++
 		m := descriptor.Bulletin{
 			Origin:      d.options.Self.ID,
 			Incarnation: d.options.Self.Incarnation,
-			Sequence:    d.bulletins,
+			Sequence:    d.suspicionSequence,
 			Service:     service,
 			List:        s.Doubts(d.now),
 		}
-		d.spreadOut(m.Origin, m)
+		d.sendToChildren(m.Origin, m)
 	}
 }
 
-// tally reports changed counts to the writers and writes those held here.
-func (d *Decider[E, D, P, L]) tally() {
+// reportTallies sends changed counts to the instances that write them and writes
+// those that this instance is responsible for.
+func (d *Decider[E, D, P, L]) reportTallies() {
 	if d.options.Routing {
 		return
 	}
@@ -165,48 +172,52 @@
 	d.emitAll(d.writer.Due(d.now, d.declared.Len()))
 }
 
-// tallyWriter returns the instance that writes the tallies of a service. The
-// last instance of a fleet writes its own.
+// tallyWriter returns the instance that writes the tallies of a service. The last
+// instance of a fleet writes its own while it shuts down.
 func (d *Decider[E, D, P, L]) tallyWriter(service string) (descriptor.Member, bool) {
 	serving := d.index.Get(service)
 	if len(serving) > 0 {
 		return serving[0], true
 	}
-	return d.gossiper.Self(), d.quit.started
+	return d.gossiper.Self(), d.shutdown.started
 }
 
-// Times in which an instance that started tells no callers which others to use: it
-// would name only the few that it met so far.
+// Until one of these times has passed, a started instance does not redirect
+// callers to other instances, since it would name only the few members it knows
+// so far.
 const (
-	// settleTime is how long no new member must have come.
-	settleTime = 400 * time.Millisecond
-	// settleLimit is the longest time after which it does.
-	settleLimit = 3 * time.Second
+	// memberQuietTime is the time without a new member from which the list counts
+	// as complete.
+	memberQuietTime = 400 * time.Millisecond
+	// memberSettleLimit is the time after which it counts as complete in any
+	// case.
+	memberSettleLimit = 3 * time.Second
 )
 
-// settleMembers notes that the members are known well enough.
-func (d *Decider[E, D, P, L]) settleMembers() {
-	if !d.synced || d.settled {
+// updateMembersSettled sets membersSettled once the list of members is taken to
+// be complete.
+func (d *Decider[E, D, P, L]) updateMembersSettled() {
+	if !d.synced || d.membersSettled {
 		return
 	}
 	since := d.now.Sub(d.syncedAt)
-	quiet := since >= settleTime && d.now.Sub(d.memberAt) >= settleTime
-	if quiet || since >= settleLimit {
-		d.settled = true
-		d.stamped = true
+	quiet := since >= memberQuietTime && d.now.Sub(d.lastMemberAt) >= memberQuietTime
+	if quiet || since >= memberSettleLimit {
+		d.membersSettled = true
+		d.timeDirty = true
 	}
 }
 
-// publish gives traffic a new directory if anything in it changed.
+// publish hands the traffic goroutines a new directory if anything in it changed.
 func (d *Decider[E, D, P, L]) publish() {
-	if (d.dirty || d.stamped) && d.now.Sub(d.publishAt) >= publishEvery {
+	if (d.dirty || d.timeDirty) && d.now.Sub(d.lastPublishAt) >= publishInterval {
 		d.publishNow()
 	}
 }
 
 func (d *Decider[E, D, P, L]) publishNow() {
-	directory := d.directory()
-	d.dirty, d.stamped = false, false
-	d.publishAt = d.now
+	directory := d.buildDirectory()
+	d.dirty, d.timeDirty = false, false
+	d.lastPublishAt = d.now
 	d.emit(descriptor.Publish{Directory: directory})
 }
--- a/decider/trail.go
+++ b/decider/trail.go
@@ -5,24 +5,24 @@
 	"monsoonswitch/descriptor"
 )
 
-// maxTrail bounds the decisions kept for one request.
-const maxTrail = 32
+// maxTraceEntries bounds the trace entries kept for one request.
+const maxTraceEntries = 32
 
-// follow keeps a decision about a request until the request ends.
-func (d *Decider[E, D, P, L]) follow(t descriptor.Trace) {
-	lines, _ := d.trails.Get(t.Request)
-	if len(lines) < maxTrail {
-		d.trails.Put(t.Request, append(lines, t))
+// recordTrace keeps a trace entry until its request ends.
+func (d *Decider[E, D, P, L]) recordTrace(t descriptor.Trace) {
+	entries, _ := d.traces.Get(t.Request)
+	if len(entries) < maxTraceEntries {
+		d.traces.Put(t.Request, append(entries, t))
 	}
 }
 
-// endTrail gives out what was decided about a request that ended.
-func (d *Decider[E, D, P, L]) endTrail(service string, e balancer.Ended) {
-	lines, ok := d.trails.Get(e.Request)
+// emitTrace emits the request trace of an ended request.
+func (d *Decider[E, D, P, L]) emitTrace(service string, e balancer.Ended) {
+	entries, ok := d.traces.Get(e.Request)
 	if !ok {
 		return
 	}
-	d.trails.Delete(e.Request)
+	d.traces.Delete(e.Request)
 	list, _ := d.spreader.Get(descriptor.KindBackends, service)
 	known, _ := d.declared.Get(service)
 	class, _ := known.service.Class(e.Class)
@@ -39,6 +39,6 @@
 		Outcome:  e.Outcome,
 		Latency:  e.Latency,
 		Target:   class.Target,
-		Lines:    lines,
+		Lines:    entries,
 	})
 }
