--- a/detector/belief.go
+++ b/detector/belief.go
@@ -5,73 +5,81 @@
 	"time"
 )
 
-// Parameters of a belief. Backend servers turn gray and recover by themselves.
+// Parameters of the model behind Belief: backend servers turn gray and recover by
+// themselves.
 const (
-	// onsetRate and recoveryRate are how often a second a sound backend server
-	// turns gray and a gray one recovers: spells of about ten seconds, and about
-	// three backend servers in ten within one at a time.
-	onsetRate    = 0.035
-	recoveryRate = 0.09
-	// grayFails is the share of its work that a gray backend server fails.
-	grayFails = 0.85
-	// soundFails bounds the share that a sound one fails from below.
-	soundFails = 0.01
-	// beliefFloor bounds the probability of either state from below.
-	beliefFloor = 1e-3
-	// SoundGray is the probability that stands for a backend server that nobody
-	// has in doubt.
+	// grayOnsetPerSecond and grayRecoveryPerSecond are the rates, per second, at
+	// which a healthy backend server turns gray and a gray one recovers. They
+	// stand for fault periods of about ten seconds, with about three backend
+	// servers in ten gray at a time.
+	grayOnsetPerSecond    = 0.035
+	grayRecoveryPerSecond = 0.09
+	// grayFailureShare is the share of its requests that a gray backend server
+	// fails.
+	grayFailureShare = 0.85
+	// healthyFailureShare is the least share of its requests that a healthy
+	// backend server is assumed to fail.
+	healthyFailureShare = 0.01
+	// minStateProbability is the lower bound of the probability of either state.
+	minStateProbability = 1e-3
+	// SoundGray is the probability of being gray that is assumed for a backend
+	// server that no suspicion list names.
 	SoundGray = 0.05
 )
 
-// Belief is the probability that a backend server is in a gray spell, by how
-// requests ended at it and how long ago. The load it answers is work that may
-// not run twice on backend servers of which some fail most of it within a
-// millisecond, so that they look idle.
+// Belief is the estimated probability that a backend server is gray, computed
+// from the outcomes of its requests and their age. It serves loads of requests
+// that may not run twice, where gray backend servers fail most requests within a
+// millisecond and therefore look idle.
 type Belief struct {
 	// Gray is the probability as of At, from 0 to 1.
 	Gray float64
 	At   time.Time
 }
 
-// stationary is the probability of a gray spell when nothing is known.
-const stationary = onsetRate / (onsetRate + recoveryRate)
+// stationaryGray is the probability of being gray that holds without any
+// observations.
+const stationaryGray = grayOnsetPerSecond / (grayOnsetPerSecond + grayRecoveryPerSecond)
 
-// NewBelief returns what is believed of a backend server: one that just started is
-// hardly ever in a spell, and of others nothing is known.
+// NewBelief returns the first estimate for a backend server. One that has just
+// started is almost never gray; for others the estimate is that without
+// observations.
 func NewBelief(now time.Time, started bool) Belief {
 	if started {
-		return Belief{Gray: beliefFloor, At: now}
+		return Belief{Gray: minStateProbability, At: now}
 	}
-	return Belief{Gray: stationary, At: now}
+	return Belief{Gray: stationaryGray, At: now}
 }
 
-// WithTime returns b as of now.
+// WithTime returns b as of now. Without observations it approaches
+// stationaryGray.
 func (b Belief) WithTime(now time.Time) Belief {
-	passed := now.Sub(b.At).Seconds()
-	if passed <= 0 {
+	elapsed := now.Sub(b.At).Seconds()
+	if elapsed <= 0 {
 		return b
 	}
-	b.Gray = stationary + (b.Gray-stationary)*math.Exp(-(onsetRate+recoveryRate)*passed)
+	b.Gray = stationaryGray + (b.Gray-stationaryGray)*math.Exp(-(grayOnsetPerSecond+grayRecoveryPerSecond)*elapsed)
 	b.At = now
 	return b
 }
 
-// WithOutcome returns b after a request that ended at now; base is the share of
-// requests that fail at sound backend servers.
+// WithOutcome returns b updated by a request that ended at now. base is the share
+// of requests that fail at healthy backend servers.
 func (b Belief) WithOutcome(now time.Time, failed bool, base float64) Belief {
 	b = b.WithTime(now)
-	base = min(max(base, soundFails), grayFails/2)
-	gray, sound := 1-grayFails, 1-base
+	base = min(max(base, healthyFailureShare), grayFailureShare/2)
+	grayLikelihood, healthyLikelihood := 1-grayFailureShare, 1-base
 	if failed {
-		gray, sound = grayFails, base
+		grayLikelihood, healthyLikelihood = grayFailureShare, base
 	}
-	p := b.Gray * gray / (b.Gray*gray + (1-b.Gray)*sound)
-	b.Gray = min(1-beliefFloor, max(beliefFloor, p))
+	p := b.Gray * grayLikelihood / (b.Gray*grayLikelihood + (1-b.Gray)*healthyLikelihood)
+	b.Gray = min(1-minStateProbability, max(minStateProbability, p))
 	return b
 }
 
-// Trust returns the probability that a request sent at now does not fail.
+// Trust returns the estimated probability that a request sent at now does not
+// fail.
 func (b Belief) Trust(now time.Time) float64 {
 	gray := b.WithTime(now).Gray
-	return 1 - gray*grayFails - (1-gray)*soundFails
+	return 1 - gray*grayFailureShare - (1-gray)*healthyFailureShare
 }
--- a/detector/detector_test.go
+++ b/detector/detector_test.go
@@ -20,7 +20,7 @@
 }
 
 func TestReference(t *testing.T) {
-	t.Run("tails fall with time and never reach zero", func(t *testing.T) {
+	t.Run("tail probabilities fall with the duration and stay positive", func(t *testing.T) {
 		r := reference(3000)
 		before := 1.0
 		for d := time.Millisecond; d < time.Hour; d *= 2 {
@@ -37,9 +37,9 @@
 		asserter.AtLeast(t, "within the target", r.Tail(100*time.Millisecond, time.Second), 0.5)
 		asserter.AtMost(t, "far beyond it", r.Tail(time.Minute, time.Second), 0.001)
 	})
-	t.Run("memory is bounded", func(t *testing.T) {
+	t.Run("the weight of old observations is bounded", func(t *testing.T) {
 		r := reference(20000)
-		asserter.AtMost(t, "weight", float64(r.total), referenceLimit)
+		asserter.AtMost(t, "weight", float64(r.total), maxReferenceWeight)
 	})
 }
 
@@ -52,16 +52,16 @@
 		}
 		return e
 	}
-	t.Run("good answers are no evidence", func(t *testing.T) {
+	t.Run("good answers leave the score at zero", func(t *testing.T) {
 		asserter.Equal(t, "score", p.Score(feed(100, Observation{Tail: 0.5})), 0.0)
 	})
-	t.Run("failures convict", func(t *testing.T) {
+	t.Run("failures reach the limit", func(t *testing.T) {
 		asserter.AtLeast(t, "score", p.Score(feed(8, Observation{Failed: true})), p.Limit())
 	})
-	t.Run("failures that the peers share do not", func(t *testing.T) {
+	t.Run("failures at the rate of the peers leave the score at zero", func(t *testing.T) {
 		asserter.Equal(t, "score", p.Score(feed(50, Observation{Failed: true, Base: 0.3})), 0.0)
 	})
-	t.Run("open work weighs more the older it is", func(t *testing.T) {
+	t.Run("an open request adds more to the score the older it is", func(t *testing.T) {
 		asserter.AtMost(t, "young", p.Overdue(0.9), 0.1)
 		asserter.AtLeast(t, "old", p.Overdue(1e-4), 5)
 	})
--- a/detector/policy.go
+++ b/detector/policy.go
@@ -2,118 +2,125 @@
 
 import "math"
 
-// Observation is one ended request as evidence about its backend server.
+// Observation is the result of one ended attempt, as evidence about its backend
+// server.
 type Observation struct {
-	// Failed tells that no whole answer below status 500 came.
+	// Failed reports whether there was no complete answer with a status below
+	// 500.
 	Failed bool
-	// Late tells that the request was given up while it was still open.
+	// Late reports whether the attempt was cancelled while it was still open.
 	Late bool
-	// Tail is the probability that a healthy peer takes longer; it is in
-	// (0, 1].
+	// Tail is the probability that a healthy peer takes longer; it is in (0, 1].
 	Tail float64
-	// Base is the failure rate of the peers at the class of work.
+	// Base is the failure rate of the peers at the same class of work.
 	Base float64
 }
 
-// Policy judges a backend server by an immutable record E of its evidence.
+// Policy scores a backend server by an immutable record E of the evidence about
+// it.
 type Policy[E any] interface {
-	// Observe returns e with one ended request taken into account.
+	// Observe returns e updated by one ended attempt.
 	Observe(e E, o Observation) E
-	// Score returns the weight of e; larger is worse and 0 is harmless.
+	// Score returns the score of e. Larger is worse; 0 is no evidence against the
+	// backend server.
 	Score(e E) float64
-	// Overdue returns the weight of one open request whose age a healthy peer
-	// exceeds with probability tail.
+	// Overdue returns what one open request adds to the score if a healthy peer
+	// takes longer than its age with probability tail.
 	Overdue(tail float64) float64
-	// Restart returns the evidence to begin with after a conviction that
-	// stood for a while.
+	// Restart returns the evidence to start with when a backend server that was
+	// avoided or ejected is used again.
 	Restart(e E) E
-	// Limit returns the score from which a backend server is convicted.
+	// Limit returns the score from which a backend server is judged gray.
 	Limit() float64
-	// Caution returns the score from which other backend servers are
-	// preferred.
+	// Caution returns the score from which other backend servers are preferred.
 	Caution() float64
 }
 
-// Parameters of the sequential test. Under the hypothesis that a backend
-// server is gray, a share graySlow of its work has a tail probability with the
-// density graySkew*u^(graySkew-1), and a share grayFailing fails.
+// Parameters of the sequential test. Its hypothesis for a gray backend server is
+// that a share graySlowShare of its work has a tail probability with the density
+// grayTailExponent*u^(grayTailExponent-1), and that a share grayFailingShare
+// fails.
 const (
-	graySlow    = 0.3
-	graySkew    = 0.2
-	grayFailing = 0.2
-	// leastBase bounds the peers' failure rate from below.
-	leastBase = 0.005
-	// sequentialLimit is the logarithm of the mean number of observations of
-	// a healthy backend server between two false convictions.
+	graySlowShare    = 0.3
+	grayTailExponent = 0.2
+	grayFailingShare = 0.2
+	// minPeerFailureRate is the lower bound of the peers' failure rate.
+	minPeerFailureRate = 0.005
+	// sequentialLimit is the natural logarithm of the mean number of observations
+	// of a healthy backend server between two false positives.
 	sequentialLimit = 20
-	// sequentialCaution is the score at which work is routed elsewhere.
-	sequentialCaution = 8
-	// sequentialCap bounds the evidence, so that recovery takes bounded time.
-	sequentialCap = 2 * sequentialLimit
+	// sequentialAvoidScore is the score from which work goes to other backend
+	// servers.
+	sequentialAvoidScore = 8
+	// sequentialMaxScore bounds the score, so that a recovered backend server
+	// gets below the limit in bounded time.
+	sequentialMaxScore = 2 * sequentialLimit
 )
 
 // Evidence holds two cumulative log-likelihood ratios of gray against healthy.
-// Failures have one of their own too, so that fast answers do not make up for
+// Failures have a sum of their own, so that fast answers do not compensate for
 // them.
 type Evidence struct {
-	// All sums up service times and failures, and Failing failures alone. Both
-	// are never negative and at most sequentialCap.
+	// All sums up service times and failures, Failing only failures. Both are
+	// between 0 and sequentialMaxScore.
 	All, Failing float64
 }
 
-// WithSteps returns e with the log-likelihood ratios of one request added.
+// WithSteps returns e with the log-likelihood ratios of one request added: slow
+// by its service time, failing by its outcome.
 func (e Evidence) WithSteps(slow, failing float64) Evidence {
-	e.All = bounded(e.All + slow + failing)
-	e.Failing = bounded(e.Failing + failing)
+	e.All = clampScore(e.All + slow + failing)
+	e.Failing = clampScore(e.Failing + failing)
 	return e
 }
 
-func bounded(sum float64) float64 { return min(sequentialCap, max(0, sum)) }
+func clampScore(sum float64) float64 { return min(sequentialMaxScore, max(0, sum)) }
 
-// Sequential is a cumulative sum test on the tail probabilities and failures
-// of the work itself.
+// Sequential is a cumulative sum (CUSUM) test on the tail probabilities and
+// failures of real requests.
 type Sequential struct{}
 
 // Observe implements Policy.
 func (Sequential) Observe(e Evidence, o Observation) Evidence {
-	base := max(leastBase, o.Base)
+	base := max(minPeerFailureRate, o.Base)
 	if o.Failed {
-		return e.WithSteps(0, math.Log(grayFailing/base))
+		return e.WithSteps(0, math.Log(grayFailingShare/base))
 	}
 	if o.Late {
-		return e.WithSteps(overdueStep(o.Tail), 0)
+		return e.WithSteps(overdueLogRatio(o.Tail), 0)
 	}
-	slow := math.Log(1 - graySlow + graySlow*graySkew*math.Pow(o.Tail, graySkew-1))
-	sound := math.Log((1 - grayFailing) / (1 - min(base, grayFailing)))
-	return e.WithSteps(slow, sound)
+	slow := math.Log(1 - graySlowShare + graySlowShare*grayTailExponent*math.Pow(o.Tail, grayTailExponent-1))
+	notFailed := math.Log((1 - grayFailingShare) / (1 - min(base, grayFailingShare)))
+	return e.WithSteps(slow, notFailed)
 }
 
 // Score implements Policy.
 func (Sequential) Score(e Evidence) float64 { return max(e.All, e.Failing) }
 
 // Overdue implements Policy.
-func (Sequential) Overdue(tail float64) float64 { return overdueStep(tail) }
+func (Sequential) Overdue(tail float64) float64 { return overdueLogRatio(tail) }
 
-func overdueStep(tail float64) float64 {
-	return math.Log(1 - graySlow + graySlow*math.Pow(tail, graySkew-1))
+func overdueLogRatio(tail float64) float64 {
+	return math.Log(1 - graySlowShare + graySlowShare*math.Pow(tail, grayTailExponent-1))
 }
 
 // Restart implements Policy.
 func (Sequential) Restart(Evidence) Evidence {
-	return Evidence{All: sequentialCaution / 2, Failing: sequentialCaution / 2}
+	return Evidence{All: sequentialAvoidScore / 2, Failing: sequentialAvoidScore / 2}
 }
 
 // Limit implements Policy.
 func (Sequential) Limit() float64 { return sequentialLimit }
 
 // Caution implements Policy.
-func (Sequential) Caution() float64 { return sequentialCaution }
+func (Sequential) Caution() float64 { return sequentialAvoidScore }
 
-// consecutiveLimit is the number of failures in a row that convicts.
+// consecutiveLimit is the number of failures in a row from which a backend server
+// is judged gray.
 const consecutiveLimit = 5
 
-// Consecutive convicts after a number of failures in a row. Work that is given
-// up counts as failed; open work does not count.
+// Consecutive judges a backend server gray after a number of failures in a row.
+// Attempts cancelled while open count as failures; open ones do not count.
 type Consecutive struct{}
 
 // Observe implements Policy.
@@ -139,10 +146,11 @@
 // Caution implements Policy.
 func (Consecutive) Caution() float64 { return consecutiveLimit }
 
-// outlierWeight is the weight of one request in the moving rates of Outlier.
-const outlierWeight = 0.05
+// outlierSampleWeight is the weight of one request in the moving share of
+// Outlier.
+const outlierSampleWeight = 0.05
 
-// Rate is a moving success rate.
+// Rate is a moving share of bad requests.
 type Rate struct {
 	// Bad is the moving share of failed or slow requests, from 0 to 1.
 	Bad float64
@@ -150,15 +158,15 @@
 
 // WithResult returns r with one request added.
 func (r Rate) WithResult(bad bool) Rate {
-	r.Bad *= 1 - outlierWeight
+	r.Bad *= 1 - outlierSampleWeight
 	if bad {
-		r.Bad += outlierWeight
+		r.Bad += outlierSampleWeight
 	}
 	return r
 }
 
-// Outlier convicts by a moving share of requests that failed or were slower
-// than nearly all of the peers' requests.
+// Outlier judges a backend server gray by the moving share of its requests that
+// failed or were slower than nearly all requests of its peers.
 type Outlier struct{}
 
 // outlierTail is the tail probability below which a request counts as slow.
@@ -184,7 +192,7 @@
 // Caution implements Policy.
 func (Outlier) Caution() float64 { return 0.2 }
 
-// None never convicts.
+// None never judges a backend server gray.
 type None struct{}
 
 // Nothing is the empty evidence of None.
--- a/detector/reference.go
+++ b/detector/reference.go
@@ -1,4 +1,4 @@
-// Package detector judges from real work whether a backend server is gray: it
+// Package detector judges from real requests whether a backend server is gray: it
 // compares the server with its peers at the same class of work.
 package detector
 
@@ -9,34 +9,36 @@
 	"monsoonswitch/descriptor"
 )
 
-// Parameters of a reference.
+// Parameters of Reference.
 const (
-	// referenceLimit is the weight at which a reference halves its counts, so
-	// that it follows slow changes of the load.
-	referenceLimit = 4000
-	// referenceLeast is the weight below which the target of the class stands
-	// in for observations.
-	referenceLeast = 30
-	// tailWeight is the least weight above a duration for the counts to be
-	// used as they are; beyond, the tail follows a power law.
-	tailWeight = 6
+	// maxReferenceWeight is the weight, in requests, at which all weights are
+	// halved, so that the distribution follows slow changes of the load.
+	maxReferenceWeight = 4000
+	// minReferenceWeight is the weight, in requests, below which the target of
+	// the class is used instead of observations.
+	minReferenceWeight = 30
+	// minTailWeight is the weight, in requests, that must lie above a duration
+	// for the observed share to be used. Beyond that duration the tail follows a
+	// power law.
+	minTailWeight = 6
 	// tailExponent is the exponent of that power law.
 	tailExponent = 1.7
-	// targetTail is the assumed share of work slower than its target while
-	// there are few observations.
-	targetTail = 0.05
-	// tailFloor is the smallest tail probability.
-	tailFloor = 1e-9
+	// targetTailShare is the assumed share of work that takes longer than its
+	// target while there are few observations.
+	targetTailShare = 0.05
+	// minTailProbability is the lower bound of tail probabilities.
+	minTailProbability = 1e-9
 )
 
 // Reference is the distribution of service times and the failure rate of one
 // class of work over all backend servers that are not suspected.
 type Reference struct {
-	// counts holds the weight of each latency bucket.
+	// counts holds the number of requests in each latency bucket, halved from
+	// time to time.
 	counts [descriptor.LatencyBuckets]float32
 	// total is the sum of counts.
 	total float32
-	// failed is the weight of failures; it is halved along with counts.
+	// failed is the number of failures; it is halved together with counts.
 	failed float32
 }
 
@@ -44,21 +46,21 @@
 func (r Reference) WithDuration(d time.Duration) Reference {
 	r.counts[descriptor.Bucket(d)]++
 	r.total++
-	r.bound()
+	r.halveIfLarge()
 	return r
 }
 
 // WithFailure returns r with one failed request added.
 func (r Reference) WithFailure() Reference {
 	r.failed++
-	r.bound()
+	r.halveIfLarge()
 	return r
 }
 
-// bound halves all weights once they are large. It is called on copies that
-// nobody else has yet.
-func (r *Reference) bound() {
-	if r.total+r.failed < referenceLimit {
+// halveIfLarge halves all weights once they reach maxReferenceWeight. It must
+// only be called on a copy that no other code holds yet.
+func (r *Reference) halveIfLarge() {
+	if r.total+r.failed < maxReferenceWeight {
 		return
 	}
 	for i := range r.counts {
@@ -73,23 +75,24 @@
 	return float64(r.failed) / float64(r.total+r.failed+1)
 }
 
-// Known tells whether r rests on enough observations.
-func (r *Reference) Known() bool { return r.total >= referenceLeast }
+// Known reports whether r has enough observations to be used instead of the
+// target.
+func (r *Reference) Known() bool { return r.total >= minReferenceWeight }
 
-// Tail returns the probability that a healthy backend server takes longer than
-// d for work whose target is target.
+// Tail returns the probability that a healthy backend server takes longer than d
+// for work with the given target.
 func (r *Reference) Tail(d, target time.Duration) float64 {
 	if !r.Known() {
-		return clampTail(targetTail * math.Pow(float64(target)/float64(d+1), tailExponent))
+		return clampTail(targetTailShare * math.Pow(float64(target)/float64(d+1), tailExponent))
 	}
-	above := r.above(descriptor.Bucket(d))
-	if above < tailWeight {
+	above := r.weightAbove(descriptor.Bucket(d))
+	if above < minTailWeight {
 		return r.extrapolate(d)
 	}
 	return clampTail(float64(above) / float64(r.total))
 }
 
-func (r *Reference) above(last int) float32 {
+func (r *Reference) weightAbove(last int) float32 {
 	var sum float32
 	for i := last + 1; i < descriptor.LatencyBuckets; i++ {
 		sum += r.counts[i]
@@ -97,14 +100,14 @@
 	return sum
 }
 
-// extrapolate continues the tail from the slowest bucket with enough weight
+// extrapolate continues the tail from the slowest bucket that has enough weight
 // above it.
 func (r *Reference) extrapolate(d time.Duration) float64 {
 	var above float32
 	i := descriptor.LatencyBuckets - 1
 	for ; i > 0; i-- {
 		above += r.counts[i]
-		if above >= tailWeight {
+		if above >= minTailWeight {
 			break
 		}
 	}
@@ -116,8 +119,8 @@
 	return clampTail(base * math.Pow(float64(anchor)/float64(d), tailExponent))
 }
 
-// Quantile returns the service time below which a share q of the work is
-// answered, or fallback while too little is known.
+// Quantile returns the service time within which a share q of the work is
+// answered, or fallback if there are too few observations.
 func (r *Reference) Quantile(q float64, fallback time.Duration) time.Duration {
 	if !r.Known() {
 		return fallback
@@ -133,4 +136,4 @@
 	return descriptor.BucketBound(descriptor.LatencyBuckets - 1)
 }
 
-func clampTail(p float64) float64 { return min(1, max(tailFloor, p)) }
+func clampTail(p float64) float64 { return min(1, max(minTailProbability, p)) }
