--- a/picker/picker.go
+++ b/picker/picker.go
@@ -5,23 +5,25 @@
 type Candidate struct {
 	// Position identifies the candidate to the caller of Pick.
 	Position int
-	// InFlight is below Share.
+	// InFlight is the number of requests of this instance that are open there; it
+	// is below Share.
 	InFlight int
-	// Share is the number of slots that may be used; it is positive.
+	// Share is the number of slots that this instance may use; it is positive.
 	Share int
-	// Trust is the probability that it does not fail the work.
+	// Trust is the estimated probability that the backend server serves the
+	// request, from 0 to 1.
 	Trust float64
-	// Load is the estimated number of requests of all instances per slot.
+	// Load is the estimated number of open requests of all instances per slot.
 	Load float64
-	// Wait is the part of the time that the work has to spare for which it is
-	// expected to wait there.
+	// Wait is the expected waiting time at the backend server, as a share of the
+	// time that the request can wait and still meet its target.
 	Wait float64
-	// Bonus is what the way to it is worth against the same work elsewhere, in
-	// units of Trust.
+	// Bonus is added to the score, in units of probability, for properties of the
+	// path to the backend server, such as the same failure domain.
 	Bonus float64
 }
 
-// Source draws numbers; the same seed gives the same sequence.
+// Source generates random numbers; the same seed gives the same sequence.
 type Source interface {
 	// Uint64 returns the next number.
 	Uint64() uint64
@@ -29,16 +31,16 @@
 
 // Policy chooses one of n candidates.
 type Policy interface {
-	// Pick returns the index of the chosen candidate. n is positive and turn
-	// grows by one with each call.
+	// Pick returns the index of the chosen candidate. n is positive, at returns
+	// the candidate of an index, and turn grows by one with each call.
 	Pick(n int, at func(int) Candidate, turn uint64, s Source) int
 }
 
 // sampleSize is the number of candidates that Sampled compares.
 const sampleSize = 3
 
-// Sampled takes the least loaded of a few random candidates, so that its cost
-// does not grow with the service.
+// Sampled takes the least loaded of a few random candidates. Its cost does not
+// grow with the number of backend servers.
 type Sampled struct{}
 
 // Pick implements Policy.
@@ -50,27 +52,27 @@
 		i := int(uint32(draw) % uint32(n))
 		draw = draw>>21 | draw<<43
 		c := at(i)
-		if best < 0 || lighter(c, chosen) {
+		if best < 0 || lessLoaded(c, chosen) {
 			best, chosen = i, c
 		}
 	}
 	return best
 }
 
-// Weights of load against trust.
+// Weights in the score of Trusted, in units of probability.
 const (
-	// loadWeight is the trust that a backend server with all slots in use must
-	// have ahead of an idle one: a full one is slower.
+	// loadWeight is subtracted for a backend server whose slots are all in use,
+	// because a fully loaded one is slower; for less load it is scaled down.
 	loadWeight = 0.035
-	// waitWeight is the trust for work that waits for all its spare time: as much
-	// of its value as it loses then.
+	// waitWeight is subtracted for a request that waits for all the time it has
+	// to spare. It is the value that the request loses by then.
 	waitWeight = 0.8
 )
 
-// Trusted takes the candidate that is most likely not to fail the work and not to
-// let it wait. It answers loads where some backend servers fail quickly: those
-// that served lately are known to be sound, while those that look idle and were
-// not asked for a while are not.
+// Trusted takes the candidate with the highest score: the probability of service
+// plus the bonus, less the weighted load and waiting time. It suits loads where
+// some backend servers fail quickly: those that served requests lately are known
+// to be healthy, while those that look idle and got no requests lately are not.
 type Trusted struct{}
 
 // Pick implements Policy.
@@ -97,14 +99,14 @@
 	chosen := at(start)
 	for k := 1; k < n; k++ {
 		i := (start + k) % n
-		if c := at(i); lighter(c, chosen) {
+		if c := at(i); lessLoaded(c, chosen) {
 			best, chosen = i, c
 		}
 	}
 	return best
 }
 
-func lighter(a, b Candidate) bool { return a.InFlight*b.Share < b.InFlight*a.Share }
+func lessLoaded(a, b Candidate) bool { return a.InFlight*b.Share < b.InFlight*a.Share }
 
 // RoundRobin takes the candidates in turn.
 type RoundRobin struct{}
