--- a/retrier/budget.go
+++ b/retrier/budget.go
@@ -1,86 +1,91 @@
-// Package retrier bounds retries and hedges by a share of recent work.
+// Package retrier bounds retries and hedges to a share of recent requests.
 package retrier
 
 import "time"
 
-// Parameters of a budget without bounds of the fleet.
+// Parameters of a budget where no bounds for the whole fleet are set.
 const (
-	// share is the number of retries earned by one success.
-	share = 0.1
-	// limit bounds the retries saved up.
-	limit = 10
+	// retriesPerSuccess is the number of retries earned by one successful
+	// request.
+	retriesPerSuccess = 0.1
+	// maxSavedRetries is the largest number of saved retries.
+	maxSavedRetries = 10
 	// MaxAttempts bounds the attempts of one request that may have run.
 	MaxAttempts = 3
-	// MaxTries bounds all attempts of one request, those that are known not to
-	// have run among them.
+	// MaxTries bounds all attempts of one request, including those that are known
+	// not to have run.
 	MaxTries = 5
 )
 
-// Bounds is what all instances together may send again to a service.
+// Bounds bounds the retries that all instances together send to a service.
 type Bounds struct {
-	// Ratio is the number of retries for each request.
+	// Ratio is the number of retries allowed for each request.
 	Ratio float64
-	// Extra is the number of retries beyond that in each Window.
+	// Extra is the number of retries allowed in each Window in addition.
 	Extra  float64
 	Window time.Duration
 }
 
-// Parts of the bounds that are used. What is left covers instances that do not
-// know of each other, and requests that others count at another moment.
+// Shares of the bounds that are used. The rest is a margin for instances that do
+// not know of each other, and for requests that fall into different windows at
+// different observers.
 const (
-	ratioPart  = 0.9
-	burstPart  = 0.25
-	refillPart = 0.6
+	usedRatioShare  = 0.9
+	usedBurstShare  = 0.25
+	usedRefillShare = 0.6
 )
 
-// Terms is how a budget grows.
+// Terms are the rates at which a budget grows, and its limit.
 type Terms struct {
-	// Share is the number of retries earned by one request, and PerSecond that
-	// earned by time alone.
+	// Share is the number of retries earned by one request, and PerSecond the
+	// number earned per second regardless of requests.
 	Share, PerSecond float64
-	// Limit bounds the retries saved up; it is positive.
+	// Limit is the largest number of saved retries; it is positive.
 	Limit float64
 }
 
-// leastSharing is the number of instances that are taken to share bounds at least:
-// one that knows few others may know too few.
-const leastSharing = 4
+// minAssumedInstances is the least number of instances that are assumed to share
+// the bounds, because an instance that knows only a few may not know all.
+const minAssumedInstances = 4
 
-// Standard returns the terms of an instance without bounds of the fleet.
-func Standard() Terms { return Terms{Share: share, Limit: limit} }
+// Standard returns the terms of an instance where no bounds for the whole fleet
+// are set.
+func Standard() Terms { return Terms{Share: retriesPerSuccess, Limit: maxSavedRetries} }
 
-// Part returns the terms of one of a number of instances that share b.
+// Part returns the terms of one slot owner, where the given number of instances
+// share b.
 func (b Bounds) Part(instances int) Terms {
-	n := float64(max(leastSharing, instances))
+	n := float64(max(minAssumedInstances, instances))
 	return Terms{
-		Share:     b.Ratio * ratioPart,
-		PerSecond: b.Extra * refillPart / b.Window.Seconds() / n,
-		Limit:     max(1, b.Extra*burstPart/n),
+		Share:     b.Ratio * usedRatioShare,
+		PerSecond: b.Extra * usedRefillShare / b.Window.Seconds() / n,
+		Limit:     max(1, b.Extra*usedBurstShare/n),
 	}
 }
 
-// Guest returns the terms of an instance that has no part of b.
-func (b Bounds) Guest() Terms { return Terms{Share: b.Ratio * ratioPart, Limit: 1} }
+// Guest returns the terms of a non-owner, which has no part of Extra.
+func (b Bounds) Guest() Terms { return Terms{Share: b.Ratio * usedRatioShare, Limit: 1} }
 
-// Budget is the number of retries that may be spent now.
+// Budget is the number of retries that may be sent now.
 type Budget struct {
-	// Left is from 0 to the limit of the terms.
+	// Left is the number of retries left, from 0 to the limit of the terms.
 	Left float64
-	// At is as of when Left holds; zero means since ever.
+	// At is the time as of which Left holds; zero means that no time has been
+	// counted.
 	At time.Time
 }
 
-// NewBudget returns a full budget, and NewEmptyBudget one that time and requests
-// fill: many instances may have started at the same moment.
+// NewBudget returns a full budget.
 func NewBudget(t Terms) Budget { return Budget{Left: t.Limit} }
 
-// NewEmptyBudget returns a budget without retries.
+// NewEmptyBudget returns a budget without retries, which time and requests fill.
+// It is used where many instances may have started at the same moment.
 func NewEmptyBudget() Budget { return Budget{} }
 
-// WithTime returns b as of now.
+// WithTime returns b with the retries earned until now.
 func (b Budget) WithTime(now time.Time, t Terms) Budget {
-	if passed := now.Sub(b.At).Seconds(); !b.At.IsZero() && passed > 0 {
-		b.Left += t.PerSecond * passed
+	if elapsed := now.Sub(b.At).Seconds(); !b.At.IsZero() && elapsed > 0 {
+		b.Left += t.PerSecond * elapsed
 	}
 	b.At = now
 	b.Left = min(t.Limit, b.Left)
@@ -93,7 +98,7 @@
 	return b
 }
 
-// WithRetry returns b after one retry and whether there was room for it.
+// WithRetry returns b after one retry and reports whether the budget allowed it.
 func (b Budget) WithRetry() (Budget, bool) {
 	if b.Left < 1 {
 		return b, false
--- a/retrier/budget_test.go
+++ b/retrier/budget_test.go
@@ -7,8 +7,8 @@
 	"monsoonswitch/asserter"
 )
 
-// TestBounds spends whatever a fleet may, under several loads and numbers of
-// instances, and compares every window with the bounds.
+// TestBounds sends every retry that the budgets of a fleet allow, under several
+// loads and numbers of instances, and compares each window with the bounds.
 func TestBounds(t *testing.T) {
 	bounds := Bounds{Ratio: 0.2, Extra: 50, Window: 10 * time.Second}
 	loads := map[string]func(second int) int{
@@ -19,7 +19,7 @@
 	for name, load := range loads {
 		for _, instances := range []int{1, 6, 16} {
 			t.Run(name, func(t *testing.T) {
-				requests, retries := spend(bounds, instances, load)
+				requests, retries := simulate(bounds, instances, load)
 				for end := 20; end < len(requests); end++ {
 					allowed := bounds.Ratio*float64(max(sum(requests, end-10, end), sum(requests, end-20, end-10))) + bounds.Extra
 					asserter.AtMost(t, "retries in a window", float64(sum(retries, end-10, end)), allowed)
@@ -29,8 +29,8 @@
 	}
 }
 
-// spend returns the requests and retries of each second.
-func spend(bounds Bounds, instances int, load func(int) int) (requests, retries []int) {
+// simulate returns the numbers of requests and retries in each second.
+func simulate(bounds Bounds, instances int, load func(int) int) (requests, retries []int) {
 	terms := bounds.Part(instances)
 	budgets := make([]Budget, instances)
 	now := time.Date(2026, 3, 1, 0, 0, 0, 0, time.UTC)
