--- a/decider/receive.go
+++ b/decider/receive.go
@@ -56,7 +56,7 @@
 // a digest from which it learns that nothing is missing.
 func (d *Decider[E, D, P, L]) handleDigest(from descriptor.Member, m descriptor.Digest) {
 	d.gossiper.HearDigest(from.ID, m.Members)
-	for _, part := range d.spreader.HearDigest(from.ID, m.Documents, !from.Ready || m.Urgent) {
+	for _, part := range d.spreader.HandleDigest(from.ID, m.Documents, !from.Ready || m.Urgent) {
 		d.send(from, part)
 	}
 	if d.synced && !from.Ready {
--- a/decider/tick.go
+++ b/decider/tick.go
@@ -50,16 +50,16 @@
 
 // announceDocuments sends references to newly stored documents over all links.
 func (d *Decider[E, D, P, L]) announceDocuments() {
-	if !d.spreader.HasFresh() {
+	if !d.spreader.HasAnnouncements() {
 		return
 	}
 	if d.options.Routing {
 		// Freshness announcements carry a sum of all documents, and an instance
 		// whose sum differs asks for what it lacks.
-		d.spreader.DropFresh()
+		d.spreader.ClearAnnouncements()
 		return
 	}
-	for _, a := range d.spreader.Fresh(d.gossiper.Links()) {
+	for _, a := range d.spreader.TakeAnnouncements(d.gossiper.Links()) {
 		if to, ok := d.gossiper.Member(a.To); ok {
 			d.send(to, a.References)
 		}
--- a/spreader/spreader.go
+++ b/spreader/spreader.go
@@ -1,6 +1,6 @@
-// Package spreader spreads documents over the links between instances: declared
-// services, lists of backend servers and sets of ejections. A document never
-// goes back to an older revision.
+// Package spreader distributes documents over the links between instances:
+// declared services, lists of backend servers and sets of ejections. A document
+// is never replaced by an older revision.
 package spreader
 
 import (
@@ -14,51 +14,54 @@
 )
 
 const (
-	// maxDocuments bounds the documents of one message.
+	// maxDocuments bounds the number of documents in one message.
 	maxDocuments = 32
-	// askTime is how long an instance has to answer before another is asked.
-	askTime = 500 * time.Millisecond
+	// requestTimeout is how long an instance has to answer before another is
+	// asked.
+	requestTimeout = 500 * time.Millisecond
 )
 
-// name identifies a document.
-type name struct {
+// key identifies a document.
+type key struct {
 	kind descriptor.Kind
 	name string
 }
 
-// asked is a question for a document.
-type asked struct {
+// request is an open request for a document.
+type request struct {
 	revision uint64
 	at       time.Time
-	// times counts the instances asked since at.
-	times int
+	// instances is the number of instances asked since at.
+	instances int
 }
 
-// Spreader holds the documents of one instance. It belongs to one goroutine.
+// Spreader holds the documents of one instance. It must be used by one goroutine
+// only.
 type Spreader struct {
-	documents *container.Table[name, descriptor.Document]
-	// digest sums up all references.
+	documents *container.Table[key, descriptor.Document]
+	// digest sums up the references of all documents.
 	digest container.Sums
-	// differing holds, for each instance, the set of buckets in which its
-	// last digest differed.
+	// differing holds, for each instance, the set of buckets in which its last
+	// digest differed.
 	differing *container.Table[string, uint64]
-	// asked holds the documents asked for and not received yet.
-	asked *container.Table[name, asked]
-	// fresh lists the documents taken in since the last flush.
-	fresh *container.Table[name, string]
+	// requested holds the documents that were requested and not received yet.
+	requested *container.Table[key, request]
+	// unannounced holds the documents stored since the last announcement, each
+	// with the instance that it came from.
+	unannounced *container.Table[key, string]
 }
 
 // New returns a spreader without documents.
 func New() *Spreader {
 	return &Spreader{
-		documents: container.NewTable[name, descriptor.Document](),
-		asked:     container.NewTable[name, asked](),
-		fresh:     container.NewTable[name, string](),
-		differing: container.NewTable[string, uint64](),
+		documents:   container.NewTable[key, descriptor.Document](),
+		requested:   container.NewTable[key, request](),
+		unannounced: container.NewTable[key, string](),
+		differing:   container.NewTable[string, uint64](),
 	}
 }
 
-// Digest sums up all documents.
+// Digest returns the bucket sums of all documents.
 func (s *Spreader) Digest() container.Sums { return s.digest }
 
 // Len returns the number of documents.
@@ -66,51 +69,52 @@
 
 // Get returns a document.
 func (s *Spreader) Get(kind descriptor.Kind, id string) (descriptor.Document, bool) {
-	return s.documents.Get(name{kind, id})
+	return s.documents.Get(key{kind, id})
 }
 
-// Take stores a document unless the same or a newer revision is held, and tells
-// whether it did. from is the instance it came from, or empty.
+// Take stores a document unless the same or a newer revision is held, and reports
+// whether it did. from is the instance that it came from, or empty.
 func (s *Spreader) Take(d descriptor.Document, from string) bool {
-	k := name{d.Kind, d.Name}
+	k := key{d.Kind, d.Name}
 	old, ok := s.documents.Get(k)
 	if ok && old.Revision >= d.Revision {
 		return false
 	}
 	if ok {
-		s.digest = s.digest.Without(k.hash(), hash(old))
+		s.digest = s.digest.Without(k.hash(), documentHash(old))
 	}
-	s.digest = s.digest.With(k.hash(), hash(d))
+	s.digest = s.digest.With(k.hash(), documentHash(d))
 	s.documents.Put(k, d)
-	s.asked.Delete(k)
-	s.fresh.Put(k, from)
+	s.requested.Delete(k)
+	s.unannounced.Put(k, from)
 	return true
 }
 
-// hash spreads the names over the buckets.
-func (n name) hash() uint64 { return xxhash.Sum64String(n.kind.String() + "/" + n.name) }
+// hash distributes the keys over the buckets.
+func (k key) hash() uint64 { return xxhash.Sum64String(k.kind.String() + "/" + k.name) }
 
-func hash(d descriptor.Document) uint64 {
-	return name{d.Kind, d.Name}.hash()*31 + d.Revision*0x9e3779b97f4a7c15
+func documentHash(d descriptor.Document) uint64 {
+	return key{d.Kind, d.Name}.hash()*31 + d.Revision*0x9e3779b97f4a7c15
 }
 
-// DropFresh forgets that documents were taken in, where nobody is to be told of
-// single ones.
-func (s *Spreader) DropFresh() { s.fresh = container.NewTable[name, string]() }
+// ClearAnnouncements drops the pending announcements. It is used where single
+// documents are not announced.
+func (s *Spreader) ClearAnnouncements() { s.unannounced = container.NewTable[key, string]() }
 
-// HasFresh tells whether documents were taken in since the last call of Fresh.
-func (s *Spreader) HasFresh() bool { return s.fresh.Len() > 0 }
+// HasAnnouncements reports whether documents were stored since the last call of
+// TakeAnnouncements.
+func (s *Spreader) HasAnnouncements() bool { return s.unannounced.Len() > 0 }
 
-// Fresh returns the references of the documents taken in since the last call,
-// for each of the given instances. Only references go to all: whoever lacks a
-// document asks one instance for it, so that each gets it about once over
-// whatever number of links. A reference does not go back where its document
-// came from.
-func (s *Spreader) Fresh(to []string) []Announcement {
+// TakeAnnouncements returns the references of the documents stored since the last
+// call, for each of the given instances. Announcements carry only references, and
+// an instance that lacks a document requests it, so that each instance gets it
+// about once however many links it has. A reference is not sent to the instance
+// that its document came from.
+func (s *Spreader) TakeAnnouncements(to []string) []Announcement {
 	var result []Announcement
 	for _, id := range to {
 		var list []descriptor.Reference
-		for k, from := range s.fresh.All {
+		for k, from := range s.unannounced.All {
 			if d, ok := s.documents.Get(k); ok && from != id {
 				list = append(list, descriptor.Reference{Kind: k.kind, Name: k.name, Revision: d.Revision})
 			}
@@ -119,11 +123,11 @@
 			result = append(result, Announcement{To: id, References: descriptor.References{List: list}})
 		}
 	}
-	s.DropFresh()
+	s.ClearAnnouncements()
 	return result
 }
 
-// Announcement is a message for one instance.
+// Announcement is a message to one instance.
 type Announcement struct {
 	To         string
 	References descriptor.References
@@ -139,9 +143,11 @@
 	return result
 }
 
-// HearDigest returns the references of the buckets in which a digest differs
-// from the documents held, if the difference lasts or is large, or at once if asked to.
-func (s *Spreader) HearDigest(from string, digest container.Sums, atOnce bool) []descriptor.References {
+// HandleDigest returns the references of the buckets in which a digest differs
+// from the documents held. Buckets that differ for the first time are left out,
+// unless the difference is large or atOnce is set, since the documents may still
+// be under way.
+func (s *Spreader) HandleDigest(from string, digest container.Sums, atOnce bool) []descriptor.References {
 	before, _ := s.differing.Get(from)
 	differing := s.digest.Differ(digest)
 	s.differing.Put(from, differing)
@@ -168,10 +174,10 @@
 	return list
 }
 
-// Forget drops what is known of an instance without a link.
+// Forget removes the state of an instance whose link closed.
 func (s *Spreader) Forget(id string) { s.differing.Delete(id) }
 
-// List returns the references of all documents in a fixed order.
+// List returns the references of all documents, sorted by kind and name.
 func (s *Spreader) List() []descriptor.Reference {
 	list := make([]descriptor.Reference, 0, s.documents.Len())
 	for k, d := range s.documents.All {
@@ -186,15 +192,16 @@
 	return list
 }
 
-// Compare returns which of the listed documents are newer than those held, and
-// the messages with those held that are newer or missing in the listed buckets.
+// Compare returns a request for the listed documents that are newer than those
+// held, and the held documents of the listed buckets that are newer or missing in
+// the list.
 func (s *Spreader) Compare(now time.Time, m descriptor.References) (descriptor.Refresh, []descriptor.Documents) {
 	var want descriptor.Refresh
-	listed := make(map[name]uint64, len(m.List))
+	listed := make(map[key]uint64, len(m.List))
 	for _, r := range m.List {
-		k := name{r.Kind, r.Name}
+		k := key{r.Kind, r.Name}
 		listed[k] = r.Revision
-		if d, ok := s.documents.Get(k); (!ok || d.Revision < r.Revision) && s.ask(now, k, r.Revision) {
+		if d, ok := s.documents.Get(k); (!ok || d.Revision < r.Revision) && s.startRequest(now, k, r.Revision) {
 			want.List = append(want.List, r)
 		}
 	}
@@ -207,29 +214,30 @@
 	return want, pack(have)
 }
 
-// maxAsked is the number of instances asked at once, in case one is lost.
-const maxAsked = 2
+// maxParallelRequests is the number of instances that are asked for one revision
+// at the same time, in case one request is lost.
+const maxParallelRequests = 2
 
-// ask tells whether to ask for a revision now: not if enough other instances
-// were asked for it a moment ago.
-func (s *Spreader) ask(now time.Time, k name, revision uint64) bool {
-	a, ok := s.asked.Get(k)
-	if !ok || a.revision < revision || now.Sub(a.at) >= askTime {
-		a = asked{revision: revision, at: now}
+// startRequest reports whether to request a revision now, and records the request
+// if so. It is false if enough other instances were asked within requestTimeout.
+func (s *Spreader) startRequest(now time.Time, k key, revision uint64) bool {
+	r, ok := s.requested.Get(k)
+	if !ok || r.revision < revision || now.Sub(r.at) >= requestTimeout {
+		r = request{revision: revision, at: now}
 	}
-	if a.times == maxAsked {
+	if r.instances == maxParallelRequests {
 		return false
 	}
-	a.times++
-	s.asked.Put(k, a)
+	r.instances++
+	s.requested.Put(k, r)
 	return true
 }
 
-// Answer returns the messages with the documents asked for.
+// Answer returns messages with the requested documents that are held.
 func (s *Spreader) Answer(m descriptor.Refresh) []descriptor.Documents {
 	var list []descriptor.Document
 	for _, r := range m.List {
-		if d, ok := s.documents.Get(name{r.Kind, r.Name}); ok && d.Revision >= r.Revision {
+		if d, ok := s.documents.Get(key{r.Kind, r.Name}); ok && d.Revision >= r.Revision {
 			list = append(list, d)
 		}
 	}
--- a/spreader/spreader_test.go
+++ b/spreader/spreader_test.go
@@ -19,7 +19,7 @@
 	for i := range n {
 		s.Take(document(fmt.Sprintf("s%d", i), revision), "")
 	}
-	s.Fresh(nil)
+	s.TakeAnnouncements(nil)
 	return s
 }
 
@@ -43,16 +43,16 @@
 func TestFresh(t *testing.T) {
 	s := New()
 	s.Take(document("a", 1), "x")
-	got := s.Fresh([]string{"x", "y"})
-	asserter.Equal(t, "announced only to others", got, []Announcement{{To: "y", References: descriptor.References{
+	got := s.TakeAnnouncements([]string{"x", "y"})
+	asserter.Equal(t, "announced to all but the sender", got, []Announcement{{To: "y", References: descriptor.References{
 		List: []descriptor.Reference{{Kind: descriptor.KindService, Name: "a", Revision: 1}},
 	}}})
-	asserter.Equal(t, "only once", len(s.Fresh([]string{"y"})), 0)
+	asserter.Equal(t, "announcements on the second call", len(s.TakeAnnouncements([]string{"y"})), 0)
 }
 
-// synchronize carries digests and answers between two spreaders.
+// synchronize exchanges digests and answers between two spreaders.
 func synchronize(a, b *Spreader, atOnce bool) {
-	for _, part := range b.HearDigest("a", a.Digest(), atOnce) {
+	for _, part := range b.HandleDigest("a", a.Digest(), atOnce) {
 		want, have := a.Compare(time.Unix(1, 0), part)
 		for _, m := range b.Answer(want) {
 			takeAll(a, m)
@@ -76,20 +76,20 @@
 	for _, c := range []struct {
 		after time.Duration
 		want  int
-	}{{0, 1}, {time.Millisecond, 1}, {10 * time.Millisecond, 0}, {askTime, 1}} {
+	}{{0, 1}, {time.Millisecond, 1}, {10 * time.Millisecond, 0}, {requestTimeout, 1}} {
 		want, _ := s.Compare(now.Add(c.after), m)
 		asserter.Equal(t, "asked after "+c.after.String(), len(want.List), c.want)
 	}
 }
 
 func TestSynchronize(t *testing.T) {
-	t.Run("a new instance gets everything", func(t *testing.T) {
+	t.Run("a new instance receives all documents", func(t *testing.T) {
 		a, b := New(), filled(500, 3)
 		synchronize(a, b, false)
 		asserter.Equal(t, "documents", a.Len(), 500)
 		asserter.Equal(t, "difference", a.Digest().Differ(b.Digest()), uint64(0))
 	})
-	t.Run("newer documents go both ways", func(t *testing.T) {
+	t.Run("newer documents are sent in both directions", func(t *testing.T) {
 		a, b := filled(100, 3), filled(100, 3)
 		a.Take(document("s7", 9), "")
 		b.Take(document("s8", 9), "")
@@ -101,16 +101,16 @@
 			wantRevision(t, s, "only-b", 1)
 		}
 	})
-	t.Run("a difference for a moment costs nothing", func(t *testing.T) {
+	t.Run("a difference in a single digest is not answered", func(t *testing.T) {
 		a, b := filled(100, 3), filled(100, 3)
 		a.Take(document("s7", 9), "")
-		asserter.Equal(t, "first digest", len(b.HearDigest("a", a.Digest(), false)), 0)
-		asserter.Equal(t, "second digest", len(b.HearDigest("a", a.Digest(), false)), 1)
+		asserter.Equal(t, "first digest", len(b.HandleDigest("a", a.Digest(), false)), 0)
+		asserter.Equal(t, "second digest", len(b.HandleDigest("a", a.Digest(), false)), 1)
 	})
 	t.Run("only the differing bucket is listed", func(t *testing.T) {
 		a, b := filled(1000, 3), filled(1000, 3)
 		a.Take(document("s7", 9), "")
-		parts := b.HearDigest("a", a.Digest(), true)
+		parts := b.HandleDigest("a", a.Digest(), true)
 		asserter.Equal(t, "parts", len(parts), 1)
 		asserter.AtMost(t, "listed", len(parts[0].List), 3*1000/container.Buckets)
 	})
