--- a/allocator/allocator_test.go
+++ b/allocator/allocator_test.go
@@ -35,7 +35,7 @@
 	t.Run("fewer members than wanted", func(t *testing.T) {
 		asserter.Equal(t, "serving", len(Serving("s", members(2, 1), 5)), 2)
 	})
-	t.Run("the loss of a member moves only its own part", func(t *testing.T) {
+	t.Run("the loss of a member moves only its own services", func(t *testing.T) {
 		all := members(30, 3)
 		moved := 0
 		for s := range 300 {
@@ -48,7 +48,7 @@
 				}
 			}
 		}
-		// The part of one of 30 members is 300*3/30 places.
+		// One of 30 members holds 300*3/30 = 30 of the serving places.
 		asserter.AtMost(t, "moved", moved, 60)
 		asserter.AtLeast(t, "moved", moved, 5)
 	})
@@ -69,12 +69,12 @@
 
 func TestCount(t *testing.T) {
 	for _, c := range []struct{ total, smallest, want int }{{18, 3, 3}, {33, 3, 3}, {63, 3, 3}, {96, 6, 3}, {400, 6, 6}, {2, 1, 2}, {0, 0, 2}} {
-		asserter.Equal(t, fmt.Sprintf("count for %d slots", c.total), Count(c.total, c.smallest), c.want)
+		asserter.Equal(t, fmt.Sprintf("count for %d slots", c.total), ServingCount(c.total, c.smallest), c.want)
 	}
 }
 
-// TestIndex compares the index with a ranking from scratch while members come
-// and go at random.
+// TestIndex compares the index with a complete ranking while members are added
+// and removed at random.
 func TestIndex(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	all := members(40, 5)
--- a/allocator/group.go
+++ b/allocator/group.go
@@ -12,7 +12,8 @@
 // group holds the members of one failure domain.
 type group struct {
 	members *container.Table[string, descriptor.Member]
-	// hashes holds the hash of each member's ID by its position in members.
+	// hashes holds the hash of each member's ID, by the member's position in
+	// members.
 	hashes []uint64
 }
 
@@ -54,37 +55,38 @@
 	}
 }
 
-// ranked is a member with its weight.
-type ranked struct {
+// weighted is a member with its rendezvous weight.
+type weighted struct {
 	member descriptor.Member
 	weight uint64
 }
 
-func before(a, b ranked) bool {
+func precedes(a, b weighted) bool {
 	if a.weight != b.weight {
 		return a.weight > b.weight
 	}
 	return a.member.ID < b.member.ID
 }
 
-// top returns the n members of highest weight, highest first.
-func (d *group) top(service uint64, n int) []ranked {
-	result := make([]ranked, 0, n+1)
+// top returns the n members of highest weight for a service, highest first.
+// service is the hash of the service's name.
+func (d *group) top(service uint64, n int) []weighted {
+	result := make([]weighted, 0, n+1)
 	for i, h := range d.hashes {
-		weight := mix(service, h)
+		weight := combineHashes(service, h)
 		if len(result) == n && weight < result[n-1].weight {
 			continue
 		}
 		_, m := d.members.At(i)
-		result = insert(result, ranked{m, weight}, n)
+		result = insertSorted(result, weighted{m, weight}, n)
 	}
 	return result
 }
 
-// insert adds r to a sorted list of at most n entries.
-func insert(list []ranked, r ranked, n int) []ranked {
-	i := sort.Search(len(list), func(i int) bool { return before(r, list[i]) })
-	list = append(list, ranked{})
+// insertSorted inserts r into a sorted list and keeps the first n entries.
+func insertSorted(list []weighted, r weighted, n int) []weighted {
+	i := sort.Search(len(list), func(i int) bool { return precedes(r, list[i]) })
+	list = append(list, weighted{})
 	copy(list[i+1:], list[i:])
 	list[i] = r
 	return list[:min(len(list), n)]
@@ -96,11 +98,11 @@
 		return nil
 	}
 	hash := xxhash.Sum64String(service)
-	domains := make([][]ranked, 0, g.domains.Len())
+	domains := make([][]weighted, 0, g.domains.Len())
 	for _, d := range g.domains.All {
 		domains = append(domains, d.top(hash, n))
 	}
-	sort.Slice(domains, func(i, j int) bool { return before(domains[i][0], domains[j][0]) })
+	sort.Slice(domains, func(i, j int) bool { return precedes(domains[i][0], domains[j][0]) })
 	result := make([]descriptor.Member, 0, n)
 	for round := range n {
 		for _, list := range domains {
--- a/allocator/index.go
+++ b/allocator/index.go
@@ -5,19 +5,20 @@
 	"monsoonswitch/descriptor"
 )
 
-// demandRecord is the number of instances a service wants and those it has.
-type demandRecord struct {
+// serviceRecord is the number of serving instances that a service should have,
+// and those that it has.
+type serviceRecord struct {
 	count   int
 	serving []descriptor.Member
 }
 
-// Index keeps the serving instances of all services in step with the members.
-// A member that comes or goes costs one weight per service, and a new ranking
-// for the few services that it concerns.
+// Index keeps the serving instances of all services up to date with the members.
+// Adding or removing a member costs one weight for each service, and a new
+// ranking for the few services that are affected.
 type Index struct {
 	members  *container.Table[string, descriptor.Member]
 	groups   *groups
-	services *container.Table[string, demandRecord]
+	services *container.Table[string, serviceRecord]
 }
 
 // NewIndex returns an index without members and services.
@@ -25,7 +26,7 @@
 	return &Index{
 		members:  container.NewTable[string, descriptor.Member](),
 		groups:   newGroups(),
-		services: container.NewTable[string, demandRecord](),
+		services: container.NewTable[string, serviceRecord](),
 	}
 }
 
@@ -38,8 +39,8 @@
 	return r.serving
 }
 
-// SetService sets how many instances a service wants and tells whether its
-// serving instances changed.
+// SetService sets how many instances should serve a service and reports whether
+// its serving instances changed.
 func (x *Index) SetService(service string, count int) bool {
 	r, ok := x.services.Get(service)
 	if ok && r.count == count {
@@ -49,7 +50,7 @@
 	return x.rank(service, r)
 }
 
-// DeleteService forgets a service.
+// DeleteService removes a service.
 func (x *Index) DeleteService(service string) { x.services.Delete(service) }
 
 // Put adds or replaces a member and returns the services whose serving
@@ -64,8 +65,8 @@
 	if ok && before.Domain == m.Domain {
 		return x.replace(m)
 	}
-	return x.rerank(func(service string, r demandRecord) bool {
-		return contains(r.serving, m.ID) || enters(service, r, m)
+	return x.rerank(func(service string, r serviceRecord) bool {
+		return contains(r.serving, m.ID) || mayEnter(service, r, m)
 	})
 }
 
@@ -78,10 +79,11 @@
 	}
 	x.members.Delete(id)
 	x.groups.remove(m)
-	return x.rerank(func(_ string, r demandRecord) bool { return contains(r.serving, id) })
+	return x.rerank(func(_ string, r serviceRecord) bool { return contains(r.serving, id) })
 }
 
-// replace puts a new record of a member in place of its old one.
+// replace replaces the record of a member that is already known in the same
+// failure domain. It returns the services that the member serves.
 func (x *Index) replace(m descriptor.Member) []string {
 	var changed []string
 	for i := range x.services.Len() {
@@ -103,19 +105,20 @@
 	return changed
 }
 
-func (x *Index) rerank(concerned func(string, demandRecord) bool) []string {
+func (x *Index) rerank(affected func(string, serviceRecord) bool) []string {
 	var changed []string
 	for i := range x.services.Len() {
 		service, r := x.services.At(i)
-		if concerned(service, r) && x.rank(service, r) {
+		if affected(service, r) && x.rank(service, r) {
 			changed = append(changed, service)
 		}
 	}
 	return changed
 }
 
-// rank computes the serving instances of a service anew.
-func (x *Index) rank(service string, r demandRecord) bool {
+// rank recomputes the serving instances of a service and reports whether they
+// changed.
+func (x *Index) rank(service string, r serviceRecord) bool {
 	serving := x.groups.serving(service, r.count)
 	changed := !sameMembers(serving, r.serving)
 	r.serving = serving
@@ -123,21 +126,23 @@
 	return changed
 }
 
-// standing is what the serving instances of one failure domain amount to.
-type standing struct {
+// domainState is the number of serving instances in one failure domain and their
+// highest weight.
+type domainState struct {
 	count int
 	best  uint64
 }
 
-// enters tells whether a new member may be among the serving instances: its
-// place within its failure domain must be in a round before the last one, or in
-// the last one ahead of a failure domain that has a place there.
-func enters(service string, r demandRecord, m descriptor.Member) bool {
+// mayEnter reports whether a new member may become one of the serving instances.
+// Its place within its failure domain must fall into a round before the last one,
+// or into the last one ahead of a failure domain that has an instance in that
+// round.
+func mayEnter(service string, r serviceRecord, m descriptor.Member) bool {
 	if len(r.serving) < r.count {
 		return true
 	}
 	weight := Weight(service, m.ID)
-	domains := make(map[string]standing, len(r.serving))
+	domains := make(map[string]domainState, len(r.serving))
 	place, rounds := 0, 0
 	for _, s := range r.serving {
 		w := Weight(service, s.ID)
--- a/decider/decider.go
+++ b/decider/decider.go
@@ -167,7 +167,7 @@
 	d.index.SetService(watchRole, watcherCount)
 	if o.Routing {
 		d.index.SetService(watchRole, routedWatcherCount)
-		d.index.SetService(callersRole, allocator.LeastServing)
+		d.index.SetService(callersRole, allocator.MinServing)
 	}
 	return d
 }
--- a/decider/decider_test.go
+++ b/decider/decider_test.go
@@ -158,7 +158,7 @@
 				changed++
 			}
 		}
-		asserter.Equal(t, "changed tallies", changed, allocator.LeastServing)
+		asserter.Equal(t, "changed tallies", changed, allocator.MinServing)
 	})
 	t.Run("a node that does not serve a service refuses its requests as misdirected", func(t *testing.T) {
 		d := ready(t, 8)
--- a/decider/documents.go
+++ b/decider/documents.go
@@ -152,7 +152,7 @@
 			smallest = b.Slots
 		}
 	}
-	if d.index.SetService(service, allocator.Count(total, smallest)) {
+	if d.index.SetService(service, allocator.ServingCount(total, smallest)) {
 		d.updateServing(service)
 	}
 }
