--- a/estimator/fleet.go
+++ b/estimator/fleet.go
@@ -16,15 +16,16 @@
 // FleetPoint is one measurement of a whole fleet without traffic.
 type FleetPoint struct {
 	Instances int
-	// Bytes and Messages are those sent over links by one instance a second.
+	// Bytes and Messages are the numbers per second that one instance sends over
+	// its links.
 	Bytes, Messages float64
-	// Core is the processor time of one instance as a share of a core. It
-	// includes its part of the stand-ins and the reading of metrics.
+	// Core is the processor time of one instance as a share of one core. It
+	// includes the instance's part of the stand-ins and of reading metrics.
 	Core float64
-	// Memory is the heap of one instance in bytes, stand-ins included.
+	// Memory is the heap per instance in bytes, including the stand-ins.
 	Memory float64
-	// Calls are the store calls of the whole fleet a second, and Waiting the
-	// watches that wait.
+	// Calls is the number of store calls of the whole fleet per second, and
+	// Waiting the number of watches that wait for a change.
 	Calls   float64
 	Waiting int
 }
@@ -32,7 +33,7 @@
 // settleTime is how long a fleet runs before it is measured.
 const settleTime = 3 * time.Second
 
-// measureFleet runs a fleet in this process for a while and measures it.
+// measureFleet runs a fleet in this process and measures it over length.
 func measureFleet(instances int, length time.Duration, log io.Writer) (FleetPoint, error) {
 	fmt.Fprintf(log, "fleet of %d instances\n", instances)
 	before := heap()
@@ -55,12 +56,12 @@
 	defer f.Close()
 	time.Sleep(settleTime)
 	p := FleetPoint{Instances: instances, Memory: (heap() - before) / float64(instances)}
-	bytes, messages := sent(f)
+	bytes, messages := sentTotals(f)
 	calls := f.Store.Calls().Total()
 	used := cpuTime()
 	time.Sleep(length)
 	used = cpuTime() - used
-	bytes2, messages2 := sent(f)
+	bytes2, messages2 := sentTotals(f)
 	n := float64(instances) * length.Seconds()
 	p.Bytes = float64(bytes2-bytes) / n
 	p.Messages = float64(messages2-messages) / n
@@ -71,7 +72,8 @@
 	return p, nil
 }
 
-func sent(f *assembler.Fleet) (uint64, uint64) {
+// sentTotals returns the bytes and messages that all instances have sent.
+func sentTotals(f *assembler.Fleet) (uint64, uint64) {
 	var bytes, messages uint64
 	for _, s := range f.Servers() {
 		t := s.Traffic()
@@ -81,7 +83,7 @@
 	return bytes, messages
 }
 
-// cpuTime returns the processor time of this process.
+// cpuTime returns the processor time that this process has used.
 func cpuTime() time.Duration {
 	var u syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &u) != nil {
--- a/estimator/page.go
+++ b/estimator/page.go
@@ -13,7 +13,9 @@
 	"monsoonswitch/gossiper"
 )
 
-// Role is one role at the target size.
+// Role is the state and load of one role of an instance at the target size.
+// Messages and Bytes are per second, Core is a share of one core, and Memory is
+// in bytes.
 type Role struct {
 	Name      string
 	State     string
@@ -24,7 +26,8 @@
 	Mechanism string
 }
 
-// Store is the load of the platform's store in one situation.
+// Store is the load of the platform's store in one situation. Writes and Reads
+// are per second.
 type Store struct {
 	Situation     string
 	Writes, Reads float64
@@ -32,7 +35,7 @@
 	Mechanism     string
 }
 
-// Page is everything that docs/CAPACITY.md shows.
+// Page is the content of docs/CAPACITY.md.
 type Page struct {
 	Members, Services []Point
 	Fleets            []FleetPoint
@@ -44,7 +47,9 @@
 	At                string
 }
 
-// Measure measures the slopes. Quick takes fewer and smaller sizes.
+// Measure measures how the load grows with the numbers of members and services
+// and computes the roles from it. With quick set it takes fewer and smaller
+// sizes.
 func Measure(quick bool, log io.Writer) (Page, error) {
 	members := []int{50, 200, 1000, 3000, targetInstances}
 	services := []int{10, 100, 1000, targetServices}
@@ -77,7 +82,7 @@
 	return p, p.compute()
 }
 
-// compute fills in the roles at the target size.
+// compute computes the roles at the target size.
 func (p *Page) compute() error {
 	codec, length, err := codecTime()
 	if err != nil {
@@ -88,8 +93,8 @@
 	links := float64(p.Links)
 	changes := memberChanges()
 	documents := perSecond(targetChanges) + perSecond(2*(targetRestarts+targetFailures))
-	// Each change comes over every link once and goes out over every link once;
-	// a document itself comes and goes about twice.
+	// Each change is received once and sent once over every link; a document
+	// itself is received and sent about twice.
 	digests := 1 / gossiper.DigestInterval(p.Links).Seconds()
 	messages := 2 * links * (1 + digests + changes + documents)
 	bytes := links*(p.Sizes.Heartbeat+digests*p.Sizes.Digest+changes*p.Sizes.Member+documents*p.Sizes.Reference) +
@@ -112,17 +117,17 @@
 		Bytes:     2 * bytes,
 		Core:      core,
 		Memory:    memory,
-		Mechanism: "links at distances 1, 2, 4, ... on a ring; changes only; references first, documents on request; bucket sums every 31 s",
+		Mechanism: "links at distances 1, 2, 4, ... on a ring; only changes are sent; references first, documents on request; bucket sums every 31 s",
 	}
 	p.Roles = []Role{entry, p.serving(perByte), p.watcher(documents), p.tallyWriter(perByte)}
-	p.Roles = append(p.Roles, together(p.Roles))
+	p.Roles = append(p.Roles, combinedRole(p.Roles))
 	p.Stores = stores()
 	return nil
 }
 
-// together sums up an instance with every role.
-func together(roles []Role) Role {
-	sum := Role{Name: "one instance with every role", State: "all of the above", Mechanism: "few instances watch; most write the tallies of no service"}
+// combinedRole returns the role of an instance that has all of the given roles.
+func combinedRole(roles []Role) Role {
+	sum := Role{Name: "one instance with every role", State: "all of the above", Mechanism: "few instances watch the store, and most write no tallies"}
 	for _, r := range roles {
 		sum.Messages += r.Messages
 		sum.Bytes += r.Bytes
@@ -132,11 +137,12 @@
 	return sum
 }
 
-// memberChanges returns the changes of member records a second: each replaced
-// instance becomes unready, leaves, joins and becomes ready.
+// memberChanges returns the number of changes of member records per second. Each
+// replaced instance becomes unready, leaves, joins and becomes ready.
 func memberChanges() float64 { return perSecond(4*targetRestarts + 6*targetFailures) }
 
-// serving returns what serving the mean number of services adds.
+// serving returns what an instance needs in addition to serve the mean number of
+// services.
 func (p Page) serving(perByte float64) Role {
 	peers := float64(servingPerService - 1)
 	evidence := servicesPerInstance * peers / 3
@@ -144,68 +150,69 @@
 	bytes := evidence*p.Sizes.Evidence + tallies*p.Sizes.Tally
 	requests := float64(targetRequests) / targetInstances
 	return Role{
-		Name:      "serving instance, beside that",
+		Name:      "serving instance, in addition",
 		State:     fmt.Sprintf("%.1f services of %d backend servers, their requests in flight", servicesPerInstance, backendsPerService),
 		Messages:  2 * (evidence + tallies),
 		Bytes:     2 * bytes,
 		Core:      requests*p.Request.Seconds() + 2*bytes*perByte,
 		Memory:    servicesPerInstance * backendsPerService * 1024,
-		Mechanism: "a few instances for each service by rendezvous; evidence as one number for each backend server",
+		Mechanism: "a few instances for each service, by rendezvous hashing; evidence is one number for each backend server",
 	}
 }
 
-// watcher returns what following the platform adds.
+// watcher returns what an instance needs in addition to watch the platform's
+// store.
 func (p Page) watcher(documents float64) Role {
 	size := (p.Sizes.Declaration + p.Sizes.Backends) / 2
 	return Role{
-		Name:      "watcher, beside that",
-		State:     "two waiting watches",
+		Name:      "watcher, in addition",
+		State:     "two open watches",
 		Messages:  2 * documents,
 		Bytes:     2 * documents * size,
 		Core:      documents * 200e-6,
 		Memory:    1 << 20,
-		Mechanism: "three instances, in three failure domains, by rendezvous",
+		Mechanism: "three instances in three failure domains, by rendezvous hashing",
 	}
 }
 
-// tallyWriter returns what writing tallies adds.
+// tallyWriter returns what an instance needs in addition to write tallies.
 func (p Page) tallyWriter(perByte float64) Role {
 	services := float64(targetServices) / targetInstances
 	reports := services * servingPerService / 2
 	writes := services / counter.WriteInterval(targetServices).Seconds()
 	bytes := reports*p.Sizes.Tally + writes*20*p.Sizes.Tally
 	return Role{
-		Name:      "tally writer, beside that",
+		Name:      "tally writer, in addition",
 		State:     fmt.Sprintf("tallies of %.1f services, 20 incarnations each", services),
 		Messages:  2 * reports,
 		Bytes:     bytes,
 		Core:      bytes * 2 * perByte,
 		Memory:    services * 20 * 4 * p.Sizes.Tally,
-		Mechanism: "the first serving instance of each service; an interval that grows with the number of services",
+		Mechanism: "the first serving instance of each service; the interval grows with the number of services",
 	}
 }
 
-// stores returns the load of the store in the situations that matter.
+// stores returns the load of the store in the situations that were considered.
 func stores() []Store {
 	writes := float64(targetServices) / counter.WriteInterval(targetServices).Seconds()
 	changes := perSecond(targetChanges) + perSecond(2*(targetRestarts+targetFailures))
-	const follows = 3 * 2
-	watch := follows/30.0 + 3*changes
-	const claims = 150
-	lost := float64(targetServices) * servingPerService / targetDomains
+	const openWatches = 3 * 2
+	watch := openWatches/30.0 + 3*changes
+	const claimsPerSecond = 150
+	lostWriters := float64(targetServices) * servingPerService / targetDomains
 	return []Store{
-		{"ordinary running", writes + perSecond(targetChanges) + perSecond(targetFailures*2), watch, follows,
-			"tally interval grows with the number of services; three watchers"},
-		{"ordinary running, with all allowed claims on bare keys", writes + claims, watch, follows,
-			"claims of the whole fleet are bounded"},
-		{"the minute after a failure domain is lost", writes + 2*lost/60, watch + follows/60.0, follows,
-			"new tally writers meet one conflict each, spread over the interval"},
-		{"the minute after the store returns from an outage", float64(targetServices) / (counter.WriteInterval(targetServices).Seconds() / 2), watch + follows, follows,
-			"waits double up to the interval and differ by service"},
+		{"normal operation", writes + perSecond(targetChanges) + perSecond(targetFailures*2), watch, openWatches,
+			"the tally interval grows with the number of services; three watchers"},
+		{"normal operation, with the largest allowed rate of claims on keys made by callers", writes + claimsPerSecond, watch, openWatches,
+			"the claims of the whole fleet are bounded"},
+		{"the minute after a failure domain is lost", writes + 2*lostWriters/60, watch + openWatches/60.0, openWatches,
+			"each new tally writer gets one conflict, spread over the interval"},
+		{"the minute after an outage of the store", float64(targetServices) / (counter.WriteInterval(targetServices).Seconds() / 2), watch + openWatches, openWatches,
+			"waits double up to the interval and differ from service to service"},
 	}
 }
 
-// Over marks a value over its budget.
+// Over returns a mark for a value over its budget, or an empty string.
 func Over(value, budget float64) string {
 	if value > budget {
 		return " **over**"
@@ -213,7 +220,7 @@
 	return ""
 }
 
-// Write writes the page.
+// Write writes the page to out.
 func (p Page) Write(out io.Writer) error {
 	return eris.Wrap(pageTemplate.Execute(out, p), "write page")
 }
--- a/estimator/slope.go
+++ b/estimator/slope.go
@@ -12,24 +12,24 @@
 	"monsoonswitch/messenger"
 )
 
-// Point is one measurement.
+// Point is one measurement of a decider.
 type Point struct {
 	// Size is the number of members or services.
 	Size int
-	// Memory is the heap in bytes that the state takes.
+	// Memory is the heap in bytes that the state occupies.
 	Memory float64
-	// Tick is the time of one gossip tick without work.
+	// Tick is the time of one gossip tick in which nothing else happens.
 	Tick time.Duration
-	// Change is the time that one change takes.
+	// Change is the time to handle one change.
 	Change time.Duration
-	// Dump is the time of a dump.
+	// Dump is the time to build a dump.
 	Dump time.Duration
 }
 
-// Line is a straight line through points.
+// Line is a straight line fitted to measurements.
 type Line struct{ Base, Slope float64 }
 
-// At returns the value at a size.
+// At returns the value of the line at a size.
 func (l Line) At(size float64) float64 { return l.Base + l.Slope*size }
 
 // fit returns the least-squares line of a value over the sizes.
@@ -53,8 +53,9 @@
 
 var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// node returns a decider that knows a number of ready members and services.
-func node(members, services int) *decider.Standard {
+// newDecider returns a decider that knows the given numbers of ready members and
+// services.
+func newDecider(members, services int) *decider.Standard {
 	d := decider.NewStandard(decider.Options{Self: memberOf(0), Seed: 1}, epoch)
 	var records []descriptor.Member
 	for i := 1; i < members; i++ {
@@ -71,7 +72,8 @@
 	return d
 }
 
-// settleTicks is the number of ticks after which nothing of the start remains.
+// settleTicks is the number of ticks after which all work caused by the start is
+// done.
 const settleTicks = 50
 
 func memberOf(i int) descriptor.Member {
@@ -129,7 +131,7 @@
 	return d
 }
 
-// heap returns the bytes of live objects.
+// heap returns the number of bytes of live heap objects.
 func heap() float64 {
 	var m runtime.MemStats
 	runtime.GC()
@@ -138,10 +140,10 @@
 	return float64(m.HeapAlloc)
 }
 
-// measureMembers measures a decider with a number of members.
+// measureMembers measures a decider that knows the given number of members.
 func measureMembers(members int) Point {
 	before := heap()
-	d := node(members, 1)
+	d := newDecider(members, 1)
 	p := Point{Size: members, Memory: heap() - before}
 	now := epoch.Add(time.Minute)
 	p.Tick = timeOf(func(i int) {
@@ -159,11 +161,11 @@
 	return p
 }
 
-// measureServices measures a decider with a number of services and one member
-// more, so that it serves each of them.
+// measureServices measures a decider that knows the given number of services and
+// 200 members. It serves only its share of the services.
 func measureServices(services int) Point {
 	before := heap()
-	d := node(200, services)
+	d := newDecider(200, services)
 	p := Point{Size: services, Memory: heap() - before}
 	now := epoch.Add(time.Minute)
 	p.Tick = timeOf(func(i int) {
@@ -178,7 +180,8 @@
 	return p
 }
 
-// timeOf returns the mean time of a call over at least minTime.
+// timeOf returns the mean time of a call. It calls for at least minTime, but at
+// most maxCalls times.
 func timeOf(call func(int)) time.Duration {
 	const minTime = 100 * time.Millisecond
 	const maxCalls = 20000
@@ -196,7 +199,7 @@
 	Heartbeat, Digest, Member, Reference, Declaration, Backends, Evidence, Tally float64
 }
 
-// frameOverhead is what WebSocket adds to a frame.
+// frameOverhead is the length in bytes of the header of a WebSocket frame.
 const frameOverhead = 6
 
 func measureSizes() (Sizes, error) {
@@ -240,7 +243,8 @@
 	return s, nil
 }
 
-// codecTime returns the time to encode and decode one byte of a typical message.
+// codecTime returns the time to encode and decode a typical message, and the
+// length of that message in bytes.
 func codecTime() (time.Duration, float64, error) {
 	m := descriptor.Members{Records: []descriptor.Member{memberOf(1)}}
 	data, err := messenger.Encode(m)
@@ -255,9 +259,10 @@
 	return t, float64(len(data)), nil
 }
 
-// requestTime returns the time to decide one request from arrival to end.
+// requestTime returns the time that the decider takes for one request from
+// arrival to end.
 func requestTime() time.Duration {
-	d := node(1, 1)
+	d := newDecider(1, 1)
 	now := epoch.Add(time.Hour)
 	return timeOf(func(i int) {
 		id := descriptor.RequestID(i + 1)
