--- a/decider/decider.go
+++ b/decider/decider.go
@@ -76,17 +76,18 @@
 
 // Decider is the state of one instance. It must be used by one goroutine only.
 type Decider[E any, D detector.Policy[E], P picker.Policy, L limiter.Policy] struct {
-	options  Options
-	now      time.Time
-	started  time.Time
-	writes   descriptor.WriteID
-	gossiper *gossiper.Gossiper
-	spreader *spreader.Spreader
-	keeper   *keeper.Keeper
-	counter  *counter.Counter
-	writer   *counter.Writer
-	index    *allocator.Index
-	relayer  *relayer.Relayer
+	options Options
+	now     time.Time
+	started time.Time
+	// lastWrite is the ID of the last write to the store.
+	lastWrite descriptor.WriteID
+	gossiper  *gossiper.Gossiper
+	spreader  *spreader.Spreader
+	keeper    *keeper.Keeper
+	counter   *counter.Counter
+	writer    *counter.Writer
+	index     *allocator.Index
+	relayer   *relayer.Relayer
 	// routes is nil unless a routing is in force.
 	routes *declarer.Map
 	// fullyRead holds the kinds of which all documents were read from the store.
@@ -178,8 +179,8 @@
 }
 
 func (d *Decider[E, D, P, L]) nextWrite() descriptor.WriteID {
-	d.writes++
-	return d.writes
+	d.lastWrite++
+	return d.lastWrite
 }
 
 // Busy reports whether there are open requests.
--- a/decider/driver_test.go
+++ b/decider/driver_test.go
@@ -117,7 +117,7 @@
 		}
 	}
 	for _, a := range actions {
-		d.do(id, a)
+		d.execute(id, a)
 	}
 }
 
@@ -130,7 +130,7 @@
 	fmt.Fprintf(&d.log, "%s %s %s\n", kind, strings.TrimPrefix(fmt.Sprintf("%T", v), "descriptor."), data)
 }
 
-func (d *driver) do(id string, action descriptor.Action) {
+func (d *driver) execute(id string, action descriptor.Action) {
 	switch a := action.(type) {
 	case descriptor.Connect:
 		for _, p := range a.Peers {
--- a/retrier/budget.go
+++ b/retrier/budget.go
@@ -37,9 +37,9 @@
 
 // Terms are the rates at which a budget grows, and its limit.
 type Terms struct {
-	// Share is the number of retries earned by one request, and PerSecond the
+	// PerRequest is the number of retries earned by one request, and PerSecond the
 	// number earned per second regardless of requests.
-	Share, PerSecond float64
+	PerRequest, PerSecond float64
 	// Limit is the largest number of saved retries; it is positive.
 	Limit float64
 }
@@ -50,21 +50,21 @@
 
 // Standard returns the terms of an instance where no bounds for the whole fleet
 // are set.
-func Standard() Terms { return Terms{Share: retriesPerSuccess, Limit: maxSavedRetries} }
+func Standard() Terms { return Terms{PerRequest: retriesPerSuccess, Limit: maxSavedRetries} }
 
 // Part returns the terms of one slot owner, where the given number of instances
 // share b.
 func (b Bounds) Part(instances int) Terms {
 	n := float64(max(minAssumedInstances, instances))
 	return Terms{
-		Share:     b.Ratio * usedRatioShare,
-		PerSecond: b.Extra * usedRefillShare / b.Window.Seconds() / n,
-		Limit:     max(1, b.Extra*usedBurstShare/n),
+		PerRequest: b.Ratio * usedRatioShare,
+		PerSecond:  b.Extra * usedRefillShare / b.Window.Seconds() / n,
+		Limit:      max(1, b.Extra*usedBurstShare/n),
 	}
 }
 
 // Guest returns the terms of a non-owner, which has no part of Extra.
-func (b Bounds) Guest() Terms { return Terms{Share: b.Ratio * usedRatioShare, Limit: 1} }
+func (b Bounds) Guest() Terms { return Terms{PerRequest: b.Ratio * usedRatioShare, Limit: 1} }
 
 // Budget is the number of retries that may be sent now.
 type Budget struct {
@@ -94,7 +94,7 @@
 
 // WithRequest returns b after one request that earns retries.
 func (b Budget) WithRequest(t Terms) Budget {
-	b.Left = min(t.Limit, b.Left+t.Share)
+	b.Left = min(t.Limit, b.Left+t.PerRequest)
 	return b
 }
 
