--- a/decider/routed_test.go
+++ b/decider/routed_test.go
@@ -196,11 +196,11 @@
 		f := newRoutedFleet(12)
 		f.run(2 * time.Second)
 		want := f.nodes[f.order[0]].published.Callers
-		asserter.Equal(t, "named", len(want), 6)
+		asserter.Equal(t, "instances that callers are sent to", len(want), 6)
 		for _, id := range f.order {
 			d := f.nodes[id].published
 			asserter.True(t, "settled", d.Settled)
-			asserter.Equal(t, "near", len(d.CallersNear("providence")), 2)
+			asserter.Equal(t, "those in providence", len(d.CallersNear("providence")), 2)
 			for i, m := range d.Callers {
 				asserter.Equal(t, id, m.ID, want[i].ID)
 			}
--- a/detector/belief.go
+++ b/detector/belief.go
@@ -28,9 +28,9 @@
 )
 
 // Belief is the estimated probability that a backend server is gray, computed
-// from the outcomes of its requests and their age. It serves loads of requests
-// that may not run twice, where gray backend servers fail most requests within a
-// millisecond and therefore look idle.
+// from the outcomes of its requests and their age. It is meant for requests that
+// may not run twice, on backend servers that fail most requests within a
+// millisecond while they are gray and therefore look idle.
 type Belief struct {
 	// Gray is the probability as of At, from 0 to 1.
 	Gray float64
