--- a/forwarder/answer.go
+++ b/forwarder/answer.go
@@ -11,24 +11,25 @@
 	"monsoonswitch/descriptor"
 )
 
-// bufferSize is the number of bytes copied at a time.
-const bufferSize = 32 << 10
+// copyBufferBytes is the size of a copy buffer in bytes.
+const copyBufferBytes = 32 << 10
 
 var buffers = sync.Pool{New: func() any {
-	b := make([]byte, bufferSize)
+	b := make([]byte, copyBufferBytes)
 	return &b
 }}
 
-// copyAnswer streams an answer to the caller. It returns an error only if the
-// backend server's answer broke off; when the caller leaves, the rest is read
-// and dropped, so that the end of the work is known.
+// copyAnswer streams an answer to the caller and returns the number of bytes read.
+// It returns an error only if the backend server's answer was truncated. After the
+// caller disconnects, the rest of the answer is read and discarded, so that the
+// completion of the work is still observed.
 func (s *session) copyAnswer(response *http.Response) (uint64, error) {
 	controller := http.NewResponseController(s.w)
 	copyHeader(s.w.Header(), response.Header)
-	s.owner.dialect.Pass(s.w.Header())
-	s.sendAway()
+	s.forwarder.dialect.AddAnswerHeaders(s.w.Header())
+	s.closeIfLeaving()
 	announceTrailers(s.w.Header(), response)
-	if !s.away {
+	if !s.callerLeft {
 		s.w.WriteHeader(response.StatusCode)
 	}
 	buffer := buffers.Get().(*[]byte)
@@ -37,7 +38,7 @@
 	for {
 		n, err := response.Body.Read(*buffer)
 		sum += uint64(n)
-		if n > 0 && !s.away {
+		if n > 0 && !s.callerLeft {
 			s.write(controller, (*buffer)[:n])
 		}
 		if errors.Is(err, io.EOF) {
@@ -50,29 +51,30 @@
 	}
 }
 
-// sendAway ends the caller's connection after an answer if this instance leaves,
-// so that the next request goes to another one.
-func (s *session) sendAway() {
-	if s.owner.snapshot.Load().Leaving {
+// closeIfLeaving closes the caller's connection after the answer if this instance is
+// shutting down, so that the caller's next request goes to another instance.
+func (s *session) closeIfLeaving() {
+	if s.forwarder.snapshot.Load().Leaving {
 		s.w.Header().Set("Connection", "close")
 	}
 }
 
-// write passes bytes on and notes if the caller left.
+// write sends bytes to the caller. On a write error it records that the caller
+// disconnected and posts this to the control goroutine.
 func (s *session) write(controller *http.ResponseController, data []byte) {
-	_ = controller.SetWriteDeadline(time.Now().Add(s.owner.options.StallTimeout))
+	_ = controller.SetWriteDeadline(time.Now().Add(s.forwarder.options.StallTimeout))
 	_, err := s.w.Write(data)
 	if err == nil {
 		err = controller.Flush()
 	}
 	if err != nil && !errors.Is(err, http.ErrNotSupported) {
-		s.away = true
-		s.gone = nil
-		s.owner.control.Post(descriptor.Gone{At: time.Now(), Request: s.id})
+		s.callerLeft = true
+		s.callerDone = nil
+		s.forwarder.control.Post(descriptor.Gone{At: time.Now(), Request: s.id})
 	}
 }
 
-// refusal is the body of an answer that refuses work.
+// refusal is the JSON body of a refusal.
 type refusal struct {
 	Reason    string    `json:"reason"`
 	Outcome   string    `json:"outcome"`
@@ -81,9 +83,9 @@
 	Retry     float64   `json:"retry,omitempty"`
 }
 
-// refuse answers that work was refused, and what is known of whether it ran.
+// refuse answers that the request is refused, and whether the work may have run.
 func (s *session) refuse(a descriptor.Refuse) {
-	s.owner.recorder.End(s.endReason(a), time.Since(s.started), 0)
+	s.forwarder.recorder.End(s.endReason(a), time.Since(s.started), 0)
 	body := refusal{
 		Reason:  a.Reason.String(),
 		Outcome: a.Outcome.String(),
@@ -91,24 +93,24 @@
 		Retry:   a.Retry.Seconds(),
 	}
 	if a.Reason == descriptor.Misdirected && s.entry != nil {
-		body.Addresses = addresses(s.currentEntry(), s.owner.options.Domain, s.caller())
+		body.Addresses = addresses(s.currentEntry(), s.forwarder.options.Domain, s.caller())
 	}
-	s.sendAway()
-	if s.owner.dialect.Refuse(s.w, s.r, a) {
+	s.closeIfLeaving()
+	if s.forwarder.dialect.Refuse(s.w, s.r, a) {
 		_ = json.NewEncoder(s.w).Encode(body)
 	}
 }
 
 func (s *session) endReason(a descriptor.Refuse) descriptor.Reason {
-	if s.away {
+	if s.callerLeft {
 		return descriptor.Abandoned
 	}
 	return a.Reason
 }
 
-// currentEntry returns the newest entry of the service.
+// currentEntry returns the newest directory entry of the service.
 func (s *session) currentEntry() *descriptor.Entry {
-	if entry, ok := s.owner.snapshot.Load().Services[s.service]; ok {
+	if entry, ok := s.forwarder.snapshot.Load().Services[s.service]; ok {
 		return entry
 	}
 	return s.entry
--- a/forwarder/attempt.go
+++ b/forwarder/attempt.go
@@ -16,7 +16,7 @@
 	"monsoonswitch/descriptor"
 )
 
-// attempt is one try of a session at a backend server.
+// attempt is one request sent to a backend server on behalf of a session.
 type attempt struct {
 	session *session
 	id      descriptor.AttemptID
@@ -26,34 +26,35 @@
 	// response is set before Answered is posted.
 	response *http.Response
 	closing  sync.Once
-	// used counts the connections that carried the request; idle is how long
-	// the first one had been unused.
-	used atomic.Int32
-	idle atomic.Int64
-	// broke tells that the attempt ended because its connection broke.
-	broke atomic.Bool
+	// connectionsUsed counts the connections that carried the request.
+	// firstIdleNanos is how long the first one had been idle, in nanoseconds.
+	connectionsUsed atomic.Int32
+	firstIdleNanos  atomic.Int64
+	// connectionBroke reports whether the attempt ended because its connection
+	// broke.
+	connectionBroke atomic.Bool
 }
 
-// run sends the request and posts what comes of it.
+// run sends the request and posts the result.
 func (t *attempt) run() {
 	s := t.session
-	service := s.owner.careful
+	service := s.forwarder.nonIdempotentClient
 	if s.class.Idempotent {
-		service = s.owner.reusing
+		service = s.forwarder.idempotentClient
 	}
 	response, err := service.DoRequest(t.request())
 	if err != nil {
 		t.fail(err)
 		return
 	}
-	head := s.owner.dialect.Read(response, s.label)
+	head := s.forwarder.dialect.ParseHead(response, s.label)
 	if fault, ok := head.fault(); ok {
-		t.drop(response, head)
+		t.discard(response, head)
 		t.post(fault, head)
 		return
 	}
 	t.response = response
-	s.owner.control.Post(descriptor.Answered{
+	s.forwarder.control.Post(descriptor.Answered{
 		At:      time.Now(),
 		Request: s.id,
 		Attempt: t.id,
@@ -63,10 +64,11 @@
 	})
 }
 
-// fault returns the fault that the head of an answer tells of.
+// fault returns the fault that the head of an answer indicates, and false if there
+// is none.
 func (h Head) fault() (descriptor.Fault, bool) {
 	switch {
-	case h.Stray:
+	case h.Mismatched:
 		return descriptor.FaultBroken, true
 	case h.Foreign:
 		return descriptor.FaultForeign, true
@@ -76,20 +78,21 @@
 	return 0, false
 }
 
-// drop gives up an answer that is not delivered. The connection of one that
-// belongs to another request is closed: what follows on it can't be told apart.
-func (t *attempt) drop(response *http.Response, h Head) {
-	if h.Stray {
+// discard releases an answer that is not delivered. If the answer belongs to another
+// request, its connection is closed, because later answers on it can't be matched to
+// requests either.
+func (t *attempt) discard(response *http.Response, h Head) {
+	if h.Mismatched {
 		t.cancel()
 	} else {
-		_, _ = io.CopyN(io.Discard, response.Body, maxDropped)
+		_, _ = io.CopyN(io.Discard, response.Body, maxDiscardedBytes)
 	}
 	_ = response.Body.Close()
 }
 
-// maxDropped bounds the bytes read of an answer that is not delivered, so that
-// its connection can be used again.
-const maxDropped = 4 << 10
+// maxDiscardedBytes bounds the bytes that are read from an answer that is not
+// delivered. Reading it to its end allows its connection to be reused.
+const maxDiscardedBytes = 4 << 10
 
 // request builds the request for the backend server.
 func (t *attempt) request() *http.Request {
@@ -109,25 +112,25 @@
 		r.Body = &attemptBody{callerBody: s.body, attempt: t}
 	case !s.class.Idempotent:
 		r.ContentLength = 0
-		r.Body = oneWay{}
+		r.Body = emptyOnceBody{}
 	default:
 		r.ContentLength = 0
 	}
 	return r.WithContext(httptrace.WithClientTrace(t.ctx, &httptrace.ClientTrace{GotConn: t.gotConn}))
 }
 
-// oneWay is an empty body that can't be read again. It keeps net/http from sending
-// a request a second time by itself whose method promises that it may: what a class
-// of work says goes before its method.
-type oneWay struct{}
+// emptyOnceBody is an empty body that can't be read again. It prevents net/http from
+// resending a request whose method is idempotent by HTTP semantics: the idempotency of
+// the request's class takes precedence over its method.
+type emptyOnceBody struct{}
 
 // Read implements io.Reader.
-func (oneWay) Read([]byte) (int, error) { return 0, io.EOF }
+func (emptyOnceBody) Read([]byte) (int, error) { return 0, io.EOF }
 
 // Close implements io.Closer.
-func (oneWay) Close() error { return nil }
+func (emptyOnceBody) Close() error { return nil }
 
-// target returns the URL of the request, whose path and query are those that the
+// target returns the URL of the request. Its path and query equal those that the
 // caller sent, byte for byte.
 func (t *attempt) target() *url.URL {
 	u := &url.URL{Scheme: "http", Host: t.backend.Address}
@@ -144,45 +147,46 @@
 	s := t.session
 	h := make(http.Header, len(s.r.Header)+4)
 	copyHeader(h, s.r.Header)
-	s.owner.dialect.Offer(h, s.r, t.backend, s.left(time.Now()))
+	s.forwarder.dialect.PrepareRequest(h, s.r, t.backend, s.timeLeft(time.Now()))
 	if _, ok := h["User-Agent"]; !ok {
-		// An empty value keeps net/http from adding its own.
+		// An empty value prevents net/http from adding its default.
 		h["User-Agent"] = []string{""}
 	}
-	hideKey(h)
+	lowercaseKeyNames(h)
 	return h
 }
 
-// gotConn watches net/http, which sends an idempotent request a second time by
-// itself when a kept connection breaks. That is right when the connection had
-// been unused for long and was closed meanwhile. Otherwise the request may have
-// brought the backend server down, and the decisions must hear of it.
+// gotConn is called by net/http when a request gets a connection. net/http resends an
+// idempotent request by itself when a reused connection breaks. This is correct if the
+// connection was idle for longer than FreshTime and the backend server closed it
+// meanwhile. Otherwise the request may have crashed the backend server, so the attempt
+// is cancelled and its failure is posted to the control goroutine.
 func (t *attempt) gotConn(info httptrace.GotConnInfo) {
-	if t.used.Add(1) == 1 {
-		t.idle.Store(int64(info.IdleTime))
+	if t.connectionsUsed.Add(1) == 1 {
+		t.firstIdleNanos.Store(int64(info.IdleTime))
 		return
 	}
-	if time.Duration(t.idle.Load()) <= t.session.owner.options.FreshTime {
-		t.broke.Store(true)
+	if time.Duration(t.firstIdleNanos.Load()) <= t.session.forwarder.options.FreshTime {
+		t.connectionBroke.Store(true)
 		t.cancel()
 	}
 }
 
-// fail posts a failed attempt, unless it was cancelled.
+// fail posts a failed attempt, unless the attempt was cancelled.
 func (t *attempt) fail(err error) {
-	if t.ctx.Err() != nil && !t.broke.Load() {
+	if t.ctx.Err() != nil && !t.connectionBroke.Load() {
 		return
 	}
-	t.session.owner.recorder.Fault()
+	t.session.forwarder.recorder.Fault()
 	t.post(t.faultOf(err), Head{})
 }
 
 func (t *attempt) faultOf(err error) descriptor.Fault {
 	var op *net.OpError
-	if errors.As(err, &op) && op.Op == "dial" && t.used.Load() == 0 {
+	if errors.As(err, &op) && op.Op == "dial" && t.connectionsUsed.Load() == 0 {
 		return descriptor.FaultConnect
 	}
-	if t.session.body.broken() {
+	if t.session.body.sourceFailed() {
 		return descriptor.FaultSource
 	}
 	return descriptor.FaultBroken
@@ -190,18 +194,18 @@
 
 func (t *attempt) post(fault descriptor.Fault, head Head) {
 	s := t.session
-	s.owner.control.Post(descriptor.Failed{
+	s.forwarder.control.Post(descriptor.Failed{
 		At:        time.Now(),
 		Request:   s.id,
 		Attempt:   t.id,
 		Fault:     fault,
 		Health:    head.Health,
 		Load:      head.Load,
-		Untouched: s.body.again(),
+		Untouched: s.body.replayable(),
 	})
 }
 
-// close releases the answer.
+// close closes the body of the answer.
 func (t *attempt) close() {
 	t.closing.Do(func() {
 		if t.response != nil {
@@ -210,24 +214,25 @@
 	})
 }
 
-// maxKept bounds the bytes of a body that are kept to send it again.
-const maxKept = 1 << 20
+// maxBufferedBytes bounds the bytes of a request body that are buffered for retries.
+const maxBufferedBytes = 1 << 20
 
-// callerBody is the body of a caller's request. Its first bytes are kept, so that
-// work that did not run at one backend server can go to another. A nil callerBody
-// stands for no body.
+// callerBody is the body of a caller's request. It buffers up to maxBufferedBytes, so
+// that work that did not run at one backend server can be sent to another. A nil
+// callerBody means that the request has no body.
 type callerBody struct {
-	source     io.ReadCloser
-	controller *http.ResponseController
-	stall      time.Duration
+	source       io.ReadCloser
+	controller   *http.ResponseController
+	stallTimeout time.Duration
 
-	// mu guards what follows; one attempt after the other reads.
+	// mu guards the fields below. Attempts read one after the other.
 	mu sync.Mutex
-	// kept holds all bytes read so far unless lost is set.
-	kept []byte
-	lost bool
-	// end is the error at the end of the source, or nil before.
-	end    error
+	// buffered holds all bytes read so far, unless overflowed is set.
+	buffered   []byte
+	overflowed bool
+	// end is the error with which the source ended; nil until then.
+	end error
+	// failed is set when reading the source failed before its end.
 	failed atomic.Bool
 }
 
@@ -236,36 +241,38 @@
 		return nil
 	}
 	return &callerBody{
-		source:     s.r.Body,
-		controller: http.NewResponseController(s.w),
-		stall:      s.owner.options.StallTimeout,
+		source:       s.r.Body,
+		controller:   http.NewResponseController(s.w),
+		stallTimeout: s.forwarder.options.StallTimeout,
 	}
 }
 
-// again tells whether the body can be sent again from its start.
-func (b *callerBody) again() bool {
+// replayable reports whether the body can be sent again from its start.
+func (b *callerBody) replayable() bool {
 	if b == nil {
 		return true
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return !b.lost
+	return !b.overflowed
 }
 
-func (b *callerBody) broken() bool { return b != nil && b.failed.Load() }
+// sourceFailed reports whether reading the caller's body failed.
+// sourceFailed reports whether reading the caller's body failed.
+func (b *callerBody) sourceFailed() bool { return b != nil && b.failed.Load() }
 
-// readAt reads the bytes from an offset on: those kept first, and then more of
-// the source. It fails if the caller sends nothing for too long.
+// readAt reads bytes from offset on, first from the buffer and then from the source.
+// It returns an error if the caller sends nothing for the stall timeout.
 func (b *callerBody) readAt(p []byte, offset int) (int, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if offset < len(b.kept) {
-		return copy(p, b.kept[offset:]), nil
+	if offset < len(b.buffered) {
+		return copy(p, b.buffered[offset:]), nil
 	}
 	if b.end != nil {
 		return 0, b.end
 	}
-	_ = b.controller.SetReadDeadline(time.Now().Add(b.stall))
+	_ = b.controller.SetReadDeadline(time.Now().Add(b.stallTimeout))
 	n, err := b.source.Read(p)
 	if err != nil {
 		b.end = err
@@ -274,25 +281,27 @@
 	if err != nil && !errors.Is(err, io.EOF) {
 		b.failed.Store(true)
 	}
-	if !b.lost && len(b.kept)+n <= maxKept {
-		b.kept = append(b.kept, p[:n]...)
+	if !b.overflowed && len(b.buffered)+n <= maxBufferedBytes {
+		b.buffered = append(b.buffered, p[:n]...)
 		return n, err
 	}
-	b.lost = true
-	b.kept = nil
+	b.overflowed = true
+	b.buffered = nil
 	return n, err
 }
 
-// attemptBody is the caller's body as one attempt sends it.
+// attemptBody is the caller's body as read by one attempt.
 type attemptBody struct {
 	*callerBody
 	attempt *attempt
 	// offset is the number of bytes read by this attempt.
 	offset int
-	sent   atomic.Bool
+	// sent is set once the end of the body was posted.
+	sent atomic.Bool
 }
 
-// Read implements io.Reader and posts that the whole body was sent.
+// Read implements io.Reader. At the end of the body it posts that the whole body was
+// sent.
 func (b *attemptBody) Read(p []byte) (int, error) {
 	if err := b.attempt.ctx.Err(); err != nil {
 		return 0, err
@@ -301,7 +310,7 @@
 	b.offset += n
 	if errors.Is(err, io.EOF) && !b.sent.Swap(true) {
 		s := b.attempt.session
-		s.owner.control.Post(descriptor.Sent{At: time.Now(), Request: s.id, Attempt: b.attempt.id})
+		s.forwarder.control.Post(descriptor.Sent{At: time.Now(), Request: s.id, Attempt: b.attempt.id})
 	}
 	return n, err
 }
--- a/forwarder/dialect.go
+++ b/forwarder/dialect.go
@@ -7,71 +7,74 @@
 	"monsoonswitch/descriptor"
 )
 
-// Dialect is how callers and backend servers say in HTTP what concerns the
-// fleet. It reads and writes headers and statuses, and decides nothing.
+// Dialect maps HTTP headers and statuses of callers and backend servers to the terms
+// of the fleet. It encodes and decodes only and makes no decisions.
 type Dialect interface {
-	// Own answers a request that is for the instance itself, and tells whether
-	// it was one.
-	Own(w http.ResponseWriter, r *http.Request, d *descriptor.Directory) bool
-	// Label returns the caller's own identifier of a request, for logs.
+	// ServeLocal answers a request that is addressed to the instance itself. It
+	// reports whether the request was one.
+	ServeLocal(w http.ResponseWriter, r *http.Request, d *descriptor.Directory) bool
+	// Label returns the caller's identifier of a request, for logs.
 	Label(r *http.Request) string
-	// Patience returns how long the caller of a request waits; 0 means that it
-	// does not say.
-	Patience(r *http.Request) time.Duration
-	// Offer makes the head of a caller's request that of one for a backend
-	// server, which has left as its time; 0 means that there is no limit.
-	Offer(h http.Header, r *http.Request, to descriptor.Backend, left time.Duration)
-	// Read returns what the head of a backend server's answer says. label is that
-	// of the request.
-	Read(response *http.Response, label string) Head
-	// Pass adds what the caller of a delivered answer is told of its way.
-	Pass(h http.Header)
-	// Refuse writes the head of an answer without a backend server's answer, and
-	// tells whether a body that explains it follows.
+	// CallerTimeout returns how long the caller of a request waits; 0 means that the
+	// request does not specify it.
+	CallerTimeout(r *http.Request) time.Duration
+	// PrepareRequest changes the headers of a caller's request into those of a
+	// request to a backend server. left is the time until the deadline; 0 means that
+	// there is none.
+	PrepareRequest(h http.Header, r *http.Request, to descriptor.Backend, left time.Duration)
+	// ParseHead returns the information in the head of a backend server's answer.
+	// label is the caller's identifier of the request.
+	ParseHead(response *http.Response, label string) Head
+	// AddAnswerHeaders adds the fleet's headers to an answer that is delivered to a
+	// caller.
+	AddAnswerHeaders(h http.Header)
+	// Refuse writes the head of a refusal. It reports whether a body that gives the
+	// reason follows.
 	Refuse(w http.ResponseWriter, r *http.Request, a descriptor.Refuse) bool
 }
 
-// Head is what the head of a backend server's answer says of the fleet's matters.
+// Head is the information in the head of a backend server's answer.
 type Head struct {
-	// NotRun tells that the work did not run.
+	// NotRun reports whether the backend server refused the work without running it.
 	NotRun bool
-	// Foreign tells that another backend server answers at the address; the work
-	// did not run.
+	// Foreign reports whether another backend server answered at the address; the
+	// work did not run.
 	Foreign bool
-	// Stray tells that the answer belongs to another request.
-	Stray  bool
-	Health descriptor.Health
-	Load   descriptor.Load
+	// Mismatched reports whether the answer belongs to another request.
+	Mismatched bool
+	Health     descriptor.Health
+	Load       descriptor.Load
 }
 
-// Plain is the dialect of docs/CALLERS.md and docs/PLATFORM.md.
-type Plain struct{ options Options }
+// StandardDialect implements the headers and statuses of docs/CALLERS.md and
+// docs/PLATFORM.md.
+type StandardDialect struct{ options Options }
 
-// NewPlain returns the dialect of a forwarder with the given options.
-func NewPlain(o Options) Plain { return Plain{options: o} }
+// NewStandardDialect returns the dialect of a forwarder with the given options.
+func NewStandardDialect(o Options) StandardDialect { return StandardDialect{options: o} }
 
-// Own implements Dialect.
-func (p Plain) Own(w http.ResponseWriter, r *http.Request, d *descriptor.Directory) bool {
-	if !isOwnPath(r.URL.Path) {
+// ServeLocal implements Dialect.
+func (p StandardDialect) ServeLocal(w http.ResponseWriter, r *http.Request, d *descriptor.Directory) bool {
+	if !isLocalPath(r.URL.Path) {
 		return false
 	}
-	p.serveOwn(w, r, d)
+	p.serveLocal(w, r, d)
 	return true
 }
 
-// Label implements Dialect; callers have no identifiers of requests.
-func (Plain) Label(*http.Request) string { return "" }
+// Label implements Dialect. This dialect has no identifiers of requests.
+func (StandardDialect) Label(*http.Request) string { return "" }
 
-// Patience implements Dialect.
-func (Plain) Patience(r *http.Request) time.Duration { return patience(r) }
+// CallerTimeout implements Dialect.
+func (StandardDialect) CallerTimeout(r *http.Request) time.Duration { return callerTimeout(r) }
 
-// Offer implements Dialect. The time that is left is not passed on.
-func (Plain) Offer(h http.Header, r *http.Request, _ descriptor.Backend, _ time.Duration) {
-	offerPlain(h, r)
+// PrepareRequest implements Dialect. The remaining time is not forwarded.
+func (StandardDialect) PrepareRequest(h http.Header, r *http.Request, _ descriptor.Backend, _ time.Duration) {
+	addForwardedHeaders(h, r)
 }
 
-// Read implements Dialect.
-func (Plain) Read(response *http.Response, _ string) Head {
+// ParseHead implements Dialect.
+func (StandardDialect) ParseHead(response *http.Response, _ string) Head {
 	return Head{
 		NotRun: response.StatusCode == http.StatusServiceUnavailable && response.Header.Get(headerRefused) != "",
 		Health: descriptor.ParseHealth(response.Header.Get(headerState)),
@@ -79,11 +82,11 @@
 	}
 }
 
-// Pass implements Dialect.
-func (Plain) Pass(h http.Header) { h.Set("Via", via) }
+// AddAnswerHeaders implements Dialect.
+func (StandardDialect) AddAnswerHeaders(h http.Header) { h.Set("Via", via) }
 
 // Refuse implements Dialect.
-func (Plain) Refuse(w http.ResponseWriter, r *http.Request, a descriptor.Refuse) bool {
+func (StandardDialect) Refuse(w http.ResponseWriter, r *http.Request, a descriptor.Refuse) bool {
 	h := w.Header()
 	h.Set("Content-Type", "application/json")
 	h.Set(headerReason, a.Reason.String())
@@ -92,7 +95,7 @@
 		h.Set("Retry-After", wholeSeconds(a.Retry))
 	}
 	if r.ContentLength != 0 {
-		// The rest of the body is not read.
+		// The rest of the body is not read, so the connection can't be reused.
 		h.Set("Connection", "close")
 	}
 	w.WriteHeader(statusOf(a.Reason))
--- a/forwarder/forwarder.go
+++ b/forwarder/forwarder.go
@@ -1,5 +1,6 @@
 // Package forwarder moves the bytes of requests and answers between callers and
-// backend servers. It decides nothing: it posts events and does what it is told.
+// backend servers. It makes no decisions: it posts events to the control goroutine and
+// carries out the actions that the control goroutine returns.
 package forwarder
 
 import (
@@ -16,54 +17,55 @@
 	"monsoonswitch/recorder"
 )
 
-// Times and bounds of traffic.
+// Timeouts and limits of connections to backend servers.
 const (
-	// connectTimeout bounds the making of a connection to a backend server if the
-	// settings do not: a few round trips between regions. A lost packet is sent
-	// again only after a second, and nothing ran yet.
+	// connectTimeout is the default timeout for connecting to a backend server. It
+	// allows a few round trips between regions. Waiting longer does not pay: a lost
+	// packet is retransmitted only after a second, and a request that was not sent yet
+	// can safely go elsewhere.
 	connectTimeout = 250 * time.Millisecond
-	// reuseTime is how long an idle connection is used again for work that may
-	// run twice.
-	reuseTime = 30 * time.Second
-	// freshTime is how long an idle connection is used again for other work: a
-	// backend server may close an older one while a request is on its way, and
-	// nobody could tell whether it ran.
-	freshTime = time.Second
+	// idempotentIdleTime is how long an idle connection is reused for idempotent work.
+	idempotentIdleTime = 30 * time.Second
+	// nonIdempotentIdleTime is the default time for which an idle connection is reused
+	// for non-idempotent work. A backend server may close a connection that is idle for
+	// longer while a request is being sent, which leaves it unknown whether the work
+	// ran.
+	nonIdempotentIdleTime = time.Second
 	// idlePerBackend bounds the idle connections to one backend server.
-	idlePerBackend = 8
-	// probeDelay is the wait before a probe.
+	maxIdlePerBackend = 8
+	// probeDelay is the delay before a connect probe.
 	probeDelay = 50 * time.Millisecond
-	// clientName is the name under which go-zero knows the client.
+	// clientName is the name of the client in go-zero.
 	clientName = "monsoonswitch-backend"
 )
 
-// Control is the control goroutine as traffic sees it.
+// Control is the interface of the control goroutine for traffic goroutines.
 type Control interface {
-	// Open passes a request on and returns the channel of its actions.
+	// Open posts a request and returns the channel of its actions.
 	Open(descriptor.Arrived) <-chan descriptor.RequestAction
-	// Post passes an event on.
+	// Post posts an event.
 	Post(descriptor.Event)
-	// Release ends the delivery of actions for a request.
+	// Release stops the delivery of actions for a request.
 	Release(descriptor.RequestID)
 }
 
-// Options are the constant parts of a forwarder.
+// Options configure a forwarder.
 type Options struct {
-	// CallerHeader names the header that tells callers apart; empty means
-	// their address.
+	// CallerHeader names the request header that identifies a caller; if it is empty,
+	// callers are identified by their IP address.
 	CallerHeader string
-	// StallTimeout bounds the time without progress of a caller's body or of
-	// an answer on its way to the caller.
+	// StallTimeout bounds the time without progress in reading a caller's body or in
+	// writing an answer to a caller.
 	StallTimeout time.Duration
-	// Keep is how long callers keep an answer to which addresses to use.
+	// Keep is how long callers may cache a list of addresses.
 	Keep time.Duration
 	// Domain is the failure domain of this instance.
 	Domain string
-	// FreshTime is how long an idle connection is used again for work that may
-	// not run twice; 0 means freshTime.
+	// FreshTime is how long an idle connection is reused for non-idempotent work; 0
+	// means nonIdempotentIdleTime.
 	FreshTime time.Duration
-	// ConnectTimeout bounds the making of a connection to a backend server; 0
-	// means connectTimeout.
+	// ConnectTimeout bounds the time for connecting to a backend server; 0 means
+	// connectTimeout.
 	ConnectTimeout time.Duration
 }
 
@@ -73,34 +75,35 @@
 	control  Control
 	dialect  Dialect
 	recorder *recorder.Recorder
-	// turns counts the requests of each route that is split.
-	turns    sync.Map
-	snapshot atomic.Pointer[snapshot]
-	requests atomic.Uint64
-	// dialer makes all connections to backend servers.
+	// routeCounts holds the number of requests of each route, as *atomic.Uint64 by
+	// name. It distributes the requests of a route with a traffic split.
+	routeCounts sync.Map
+	snapshot    atomic.Pointer[snapshot]
+	requests    atomic.Uint64
+	// dialer opens all connections to backend servers.
 	dialer *net.Dialer
-	// reusing sends work that may run twice, and careful all other work.
-	reusing, careful httpc.Service
+	// idempotentClient sends idempotent work, and nonIdempotentClient all other work.
+	idempotentClient, nonIdempotentClient httpc.Service
 }
 
 // New returns a forwarder with an empty directory.
 func New(o Options, d Dialect, c Control, r *recorder.Recorder) *Forwarder {
 	breaker.NoBreakerFor(clientName)
 	if o.FreshTime == 0 {
-		o.FreshTime = freshTime
+		o.FreshTime = nonIdempotentIdleTime
 	}
 	if o.ConnectTimeout == 0 {
 		o.ConnectTimeout = connectTimeout
 	}
 	dialer := &net.Dialer{Timeout: o.ConnectTimeout}
 	f := &Forwarder{
-		options:  o,
-		control:  c,
-		dialect:  d,
-		recorder: r,
-		dialer:   dialer,
-		reusing:  newClient(dialer, reuseTime),
-		careful:  newClient(dialer, o.FreshTime),
+		options:             o,
+		control:             c,
+		dialect:             d,
+		recorder:            r,
+		dialer:              dialer,
+		idempotentClient:    newClient(dialer, idempotentIdleTime),
+		nonIdempotentClient: newClient(dialer, o.FreshTime),
 	}
 	f.snapshot.Store(newSnapshot(&descriptor.Directory{}))
 	return f
@@ -109,7 +112,7 @@
 func newClient(dialer *net.Dialer, idle time.Duration) httpc.Service {
 	transport := &http.Transport{
 		DialContext:           dialer.DialContext,
-		MaxIdleConnsPerHost:   idlePerBackend,
+		MaxIdleConnsPerHost:   maxIdlePerBackend,
 		IdleConnTimeout:       idle,
 		DisableCompression:    true,
 		ExpectContinueTimeout: time.Second,
@@ -121,16 +124,16 @@
 	return httpc.NewServiceWithClient(clientName, client)
 }
 
-// turn counts a request of a route and returns the count.
-func (f *Forwarder) turn(route string) uint64 {
-	v, ok := f.turns.Load(route)
+// countRoute adds a request to the count of a route and returns the new count.
+func (f *Forwarder) countRoute(route string) uint64 {
+	v, ok := f.routeCounts.Load(route)
 	if !ok {
-		v, _ = f.turns.LoadOrStore(route, new(atomic.Uint64))
+		v, _ = f.routeCounts.LoadOrStore(route, new(atomic.Uint64))
 	}
 	return v.(*atomic.Uint64).Add(1)
 }
 
-// snapshot is a directory with a channel that is closed when a newer one is there.
+// snapshot is a directory with a channel that is closed when it is replaced.
 type snapshot struct {
 	*descriptor.Directory
 	replaced chan struct{}
@@ -140,13 +143,14 @@
 	return &snapshot{Directory: d, replaced: make(chan struct{})}
 }
 
-// SetDirectory replaces the directory.
+// SetDirectory replaces the directory and wakes requests that wait for a new one.
 func (f *Forwarder) SetDirectory(d *descriptor.Directory) {
 	close(f.snapshot.Swap(newSnapshot(d)).replaced)
 }
 
-// Probe makes a connection to a backend server and posts whether it could. A
-// moment passes first: one that just broke down may still seem to listen.
+// Probe connects to a backend server in the background and posts whether this
+// succeeded. It waits for probeDelay first, because a process that has just crashed may
+// still accept connections for a moment.
 func (f *Forwarder) Probe(p descriptor.Probe) {
 	go func() {
 		time.Sleep(probeDelay)
@@ -164,16 +168,16 @@
 	}()
 }
 
-// ServeQuestion answers a question to the instance itself.
+// ServeQuestion serves only requests that are addressed to the instance itself.
 func (f *Forwarder) ServeQuestion(w http.ResponseWriter, r *http.Request) {
-	if !f.dialect.Own(w, r, f.snapshot.Load().Directory) {
+	if !f.dialect.ServeLocal(w, r, f.snapshot.Load().Directory) {
 		http.NotFound(w, r)
 	}
 }
 
 // ServeHTTP serves one request of a caller.
 func (f *Forwarder) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	if f.dialect.Own(w, r, f.snapshot.Load().Directory) {
+	if f.dialect.ServeLocal(w, r, f.snapshot.Load().Directory) {
 		return
 	}
 	f.recorder.Begin()
--- a/forwarder/forwarder_test.go
+++ b/forwarder/forwarder_test.go
@@ -19,8 +19,8 @@
 	"monsoonswitch/recorder"
 )
 
-// simple is a control that sends every request to one backend server once.
-type simple struct {
+// singleBackend is a Control that sends every request once, to one backend server.
+type singleBackend struct {
 	mu      sync.Mutex
 	address string
 	open    map[descriptor.RequestID]chan descriptor.RequestAction
@@ -28,7 +28,7 @@
 }
 
 // Open implements Control.
-func (c *simple) Open(e descriptor.Arrived) <-chan descriptor.RequestAction {
+func (c *singleBackend) Open(e descriptor.Arrived) <-chan descriptor.RequestAction {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	answers := make(chan descriptor.RequestAction, 8)
@@ -39,7 +39,7 @@
 }
 
 // Post implements Control.
-func (c *simple) Post(event descriptor.Event) {
+func (c *singleBackend) Post(event descriptor.Event) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.events = append(c.events, event)
@@ -52,10 +52,10 @@
 }
 
 // Release implements Control.
-func (c *simple) Release(descriptor.RequestID) {}
+func (c *singleBackend) Release(descriptor.RequestID) {}
 
-// arrived returns the last request that arrived.
-func (c *simple) arrived() descriptor.Arrived {
+// arrived returns the last Arrived event.
+func (c *singleBackend) arrived() descriptor.Arrived {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var last descriptor.Arrived
@@ -68,7 +68,7 @@
 }
 
 // fault returns the fault of the last attempt that failed, or -1.
-func (c *simple) fault() descriptor.Fault {
+func (c *singleBackend) fault() descriptor.Fault {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	last := descriptor.Fault(-1)
@@ -80,23 +80,23 @@
 	return last
 }
 
-// rig is a forwarder between a test client and a backend server.
-type rig struct {
+// fixture holds a forwarder between a test client and a backend server.
+type fixture struct {
 	t         *testing.T
 	front     *httptest.Server
-	control   *simple
+	control   *singleBackend
 	forwarder *Forwarder
 }
 
-func newRig(t *testing.T, backend http.HandlerFunc) *rig {
-	return newRigWith(t, Options{StallTimeout: 10 * time.Second, Keep: time.Second, CallerHeader: "Caller"}, backend)
+func newFixture(t *testing.T, backend http.HandlerFunc) *fixture {
+	return newFixtureWith(t, Options{StallTimeout: 10 * time.Second, Keep: time.Second, CallerHeader: "Caller"}, backend)
 }
 
-func newRigWith(t *testing.T, o Options, backend http.HandlerFunc) *rig {
+func newFixtureWith(t *testing.T, o Options, backend http.HandlerFunc) *fixture {
 	b := httptest.NewServer(backend)
 	t.Cleanup(b.Close)
-	control := &simple{address: strings.TrimPrefix(b.URL, "http://"), open: make(map[descriptor.RequestID]chan descriptor.RequestAction)}
-	f := New(o, NewPlain(o), control, recorder.New())
+	control := &singleBackend{address: strings.TrimPrefix(b.URL, "http://"), open: make(map[descriptor.RequestID]chan descriptor.RequestAction)}
+	f := New(o, NewStandardDialect(o), control, recorder.New())
 	f.SetDirectory(&descriptor.Directory{Ready: true, Services: map[string]*descriptor.Entry{"ledger": {
 		Service: declarer.Service{
 			Name:    "ledger",
@@ -110,18 +110,19 @@
 	}}})
 	front := httptest.NewServer(f)
 	t.Cleanup(front.Close)
-	return &rig{t: t, front: front, control: control, forwarder: f}
+	return &fixture{t: t, front: front, control: control, forwarder: f}
 }
 
-func (x *rig) request(method, path string, body io.Reader) *http.Request {
+func (x *fixture) request(method, path string, body io.Reader) *http.Request {
 	r, err := http.NewRequestWithContext(context.Background(), method, x.front.URL+path, body)
 	asserter.NoError(x.t, "build request", err)
 	r.Header.Set("Service", "ledger")
 	return r
 }
 
-// do returns the answer with its whole body, or the error of reading it.
-func (x *rig) do(r *http.Request) (*http.Response, string, error) {
+// do sends a request and returns the answer with its whole body, or the error of
+// sending or reading.
+func (x *fixture) do(r *http.Request) (*http.Response, string, error) {
 	response, err := http.DefaultTransport.RoundTrip(r)
 	if err != nil {
 		return nil, "", err
@@ -132,8 +133,8 @@
 }
 
 func TestAnswers(t *testing.T) {
-	t.Run("whole answers pass with their status, headers and trailers", func(t *testing.T) {
-		x := newRig(t, func(w http.ResponseWriter, _ *http.Request) {
+	t.Run("complete answers keep their status, headers and trailers", func(t *testing.T) {
+		x := newFixture(t, func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("Trailer", "Sum")
 			w.Header().Set("Kind", "line")
 			w.Header().Set("Backend-Load", "1/3")
@@ -150,8 +151,8 @@
 		asserter.Equal(t, "inner header", response.Header.Get("Backend-Load"), "")
 	})
 	for _, length := range []bool{true, false} {
-		t.Run(fmt.Sprintf("a cut answer never looks whole, length given %v", length), func(t *testing.T) {
-			x := newRig(t, func(w http.ResponseWriter, _ *http.Request) {
+		t.Run(fmt.Sprintf("a truncated answer is an error for the caller, length given %v", length), func(t *testing.T) {
+			x := newFixture(t, func(w http.ResponseWriter, _ *http.Request) {
 				if length {
 					w.Header().Set("Content-Length", "1000")
 				}
@@ -160,11 +161,11 @@
 				panic(http.ErrAbortHandler)
 			})
 			_, _, err := x.do(x.request("GET", "/a", nil))
-			asserter.True(t, "breaks off", err != nil)
+			asserter.True(t, "truncation is an error", err != nil)
 		})
 	}
-	t.Run("answers on kept connections go to their own callers", func(t *testing.T) {
-		x := newRig(t, func(w http.ResponseWriter, r *http.Request) {
+	t.Run("answers on reused connections reach the right callers", func(t *testing.T) {
+		x := newFixture(t, func(w http.ResponseWriter, r *http.Request) {
 			time.Sleep(time.Duration(len(r.URL.Path)%7) * time.Millisecond)
 			_, _ = io.WriteString(w, r.URL.Path)
 		})
@@ -183,7 +184,7 @@
 		group.Wait()
 	})
 	t.Run("bodies stream in both directions", func(t *testing.T) {
-		x := newRig(t, func(w http.ResponseWriter, r *http.Request) {
+		x := newFixture(t, func(w http.ResponseWriter, r *http.Request) {
 			_ = http.NewResponseController(w).EnableFullDuplex()
 			buffer := make([]byte, 1)
 			for {
@@ -209,7 +210,7 @@
 
 func TestRequests(t *testing.T) {
 	var seen http.Header
-	x := newRig(t, func(_ http.ResponseWriter, r *http.Request) { seen = r.Header })
+	x := newFixture(t, func(_ http.ResponseWriter, r *http.Request) { seen = r.Header })
 	r := x.request("POST", "/a?b=c", nil)
 	for k, v := range map[string]string{
 		"Connection": "keep-alive, Secret-Hop", "Secret-Hop": "1", "Te": "trailers", "Proxy-Authorization": "x",
@@ -229,15 +230,15 @@
 	asserter.Equal(t, "caller", arrived.Caller, "tavern-7")
 	asserter.Equal(t, "class", arrived.Class, "all")
 	asserter.Equal(t, "deadline", arrived.Deadline.Sub(arrived.At).Round(time.Second), 3*time.Second)
-	t.Run("net/http never takes a key as leave to send twice", func(t *testing.T) {
-		h := offered(r)
+	t.Run("the key has no canonical name, on which net/http would resend", func(t *testing.T) {
+		h := preparedHeaders(r)
 		_, plain := h["Idempotency-Key"]
 		asserter.Equal(t, "canonical key", plain, false)
 	})
 }
 
 func TestRefusals(t *testing.T) {
-	x := newRig(t, func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) })
+	x := newFixture(t, func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) })
 	want := func(t *testing.T, r *http.Request, status int, reason, outcome string) {
 		t.Helper()
 		response, body, err := x.do(r)
@@ -247,7 +248,7 @@
 		asserter.Equal(t, "outcome", response.Header.Get(headerOutcome), outcome)
 		asserter.True(t, "reason in body", strings.Contains(body, `"reason":"`+reason+`"`))
 	}
-	t.Run("broken backend server", func(t *testing.T) {
+	t.Run("backend server closes the connection", func(t *testing.T) {
 		want(t, x.request("POST", "/a", strings.NewReader("body")), http.StatusBadGateway, "backend-failed", "may-have-run")
 	})
 	t.Run("unknown service", func(t *testing.T) {
@@ -270,22 +271,23 @@
 }
 
 func TestAddresses(t *testing.T) {
-	x := newRig(t, func(http.ResponseWriter, *http.Request) {})
+	x := newFixture(t, func(http.ResponseWriter, *http.Request) {})
 	_, body, err := x.do(x.request("GET", AddressPath+"?service=ledger&domain=near", nil))
 	asserter.NoError(t, "ask", err)
-	asserter.True(t, "nearest first: "+body, strings.Index(body, "10.0.0.2:80") < strings.Index(body, "10.0.0.1:80"))
+	asserter.True(t, "same failure domain first: "+body, strings.Index(body, "10.0.0.2:80") < strings.Index(body, "10.0.0.1:80"))
 	asserter.True(t, "ticket", strings.Contains(body, `"ticket":"m1.near.`))
 	response, _, err := x.do(x.request("GET", AddressPath+"?service=other", nil))
 	asserter.NoError(t, "ask", err)
 	asserter.Equal(t, "unknown service", response.StatusCode, http.StatusNotFound)
 }
 
-// TestNoResend breaks a connection that was used before: the request must reach
-// the backend server once, and the break must be known.
+// TestNoResend breaks a reused connection, on which net/http resends a request by
+// itself. The request must reach the backend server once, and the failure must be
+// reported.
 func TestNoResend(t *testing.T) {
 	var mu sync.Mutex
 	seen := make(map[string]int)
-	x := newRig(t, func(_ http.ResponseWriter, r *http.Request) {
+	x := newFixture(t, func(_ http.ResponseWriter, r *http.Request) {
 		mu.Lock()
 		defer mu.Unlock()
 		seen[r.URL.Path]++
@@ -316,15 +318,16 @@
 		r.Header["Prefer"] = []string{prefer}
 		r.Header["Request-Timeout"] = []string{timeout}
 		r.Header["Connection"] = []string{connection}
-		asserter.AtMost(t, "patience", patience(r), maxPatience)
+		asserter.AtMost(t, "caller timeout", callerTimeout(r), maxCallerTimeout)
 		asserter.AtLeast(t, "free slots", loadOf(load).Slots-loadOf(load).Running, 0)
-		asserter.Equal(t, "hop header", offered(r).Get("Connection"), "")
+		asserter.Equal(t, "hop header", preparedHeaders(r).Get("Connection"), "")
 	})
 }
 
-// offered returns the headers that a backend server gets for a caller's request.
-func offered(r *http.Request) http.Header {
-	f := New(Options{}, Plain{}, nil, recorder.New())
-	x := &attempt{session: &session{owner: f, r: r}}
+// preparedHeaders returns the headers that a backend server receives for a caller's
+// request.
+func preparedHeaders(r *http.Request) http.Header {
+	f := New(Options{}, StandardDialect{}, nil, recorder.New())
+	x := &attempt{session: &session{forwarder: f, r: r}}
 	return x.header()
 }
--- a/forwarder/header.go
+++ b/forwarder/header.go
@@ -11,7 +11,7 @@
 	"monsoonswitch/descriptor"
 )
 
-// Names of headers; docs/CALLERS.md and docs/PLATFORM.md explain them.
+// Names of headers, as documented in docs/CALLERS.md and docs/PLATFORM.md.
 const (
 	headerService = "Service"
 	headerKey     = "Idempotency-Key"
@@ -19,27 +19,30 @@
 	headerOutcome = "Monsoon-Outcome"
 	headerPrefer  = "Prefer"
 	headerTimeout = "Request-Timeout"
-	// headerState, headerLoad and headerRefused are those of backend servers.
+	// headerState, headerLoad and headerRefused are set by backend servers.
 	headerState   = "Backend-State"
 	headerLoad    = "Backend-Load"
 	headerRefused = "Backend-Refused"
-	// ownPrefix begins the headers that only instances set.
-	ownPrefix     = "Monsoon-"
-	backendPrefix = "Backend-"
-	via           = "1.1 monsoonswitch"
+	// instanceHeaderPrefix is the prefix of headers that only instances set.
+	instanceHeaderPrefix = "Monsoon-"
+	// backendHeaderPrefix is the prefix of headers that only backend servers set.
+	backendHeaderPrefix = "Backend-"
+	// via is the value of the header Via.
+	via = "1.1 monsoonswitch"
 )
 
-// hopHeaders are the headers that concern one connection only.
+// hopHeaders are the hop-by-hop headers, which are not forwarded.
 var hopHeaders = []string{
 	"Connection", "Proxy-Connection", "Keep-Alive", "Proxy-Authenticate",
 	"Proxy-Authorization", "Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
 
-// copyHeader copies end-to-end headers that may cross the fleet.
+// copyHeader copies the end-to-end headers, except those that only instances or
+// backend servers set.
 func copyHeader(to, from http.Header) {
 	named := connectionHeaders(from)
 	for name, values := range from {
-		if named[name] || strings.HasPrefix(name, ownPrefix) || strings.HasPrefix(name, backendPrefix) {
+		if named[name] || strings.HasPrefix(name, instanceHeaderPrefix) || strings.HasPrefix(name, backendHeaderPrefix) {
 			continue
 		}
 		to[name] = append([]string(nil), values...)
@@ -49,6 +52,10 @@
 	}
 }
 
+// connectionHeaders returns the names of the headers that Connection declares as
+// hop-by-hop.
+// connectionHeaders returns the names of the headers that Connection declares as
+// hop-by-hop.
 func connectionHeaders(h http.Header) map[string]bool {
 	named := make(map[string]bool)
 	for _, line := range h["Connection"] {
@@ -59,8 +66,9 @@
 	return named
 }
 
-// offerPlain adds what a backend server is told of the way of a request.
-func offerPlain(h http.Header, r *http.Request) {
+// addForwardedHeaders adds the X-Forwarded headers and Via to a request for a backend
+// server.
+func addForwardedHeaders(h http.Header, r *http.Request) {
 	client := hostOf(r.RemoteAddr)
 	if before := r.Header.Values("X-Forwarded-For"); len(before) > 0 {
 		client = strings.Join(before, ", ") + ", " + client
@@ -71,10 +79,10 @@
 	h.Set("Via", via)
 }
 
-// hideKey spells the names of idempotency keys in lower case. They mean the same
-// to the backend server, but net/http takes the usual spelling as leave to send
-// a request a second time.
-func hideKey(h http.Header) {
+// lowercaseKeyNames writes the names of idempotency key headers in lower case. Backend
+// servers treat them alike, but net/http resends a request by itself if it finds the
+// canonical spelling.
+func lowercaseKeyNames(h http.Header) {
 	for _, name := range []string{headerKey, "X-Idempotency-Key"} {
 		if values, ok := h[name]; ok {
 			delete(h, name)
@@ -95,9 +103,9 @@
 	}
 }
 
-// patience returns how long the caller waits: from Prefer: wait=SECONDS of RFC
-// 7240, or Request-Timeout in seconds. Zero means that it does not say.
-func patience(r *http.Request) time.Duration {
+// callerTimeout returns how long the caller waits, from Prefer: wait=SECONDS (RFC 7240)
+// or from Request-Timeout in seconds. Zero means that it is unspecified or invalid.
+func callerTimeout(r *http.Request) time.Duration {
 	text := r.Header.Get(headerTimeout)
 	for _, line := range r.Header.Values(headerPrefer) {
 		for _, part := range strings.Split(line, ",") {
@@ -107,19 +115,19 @@
 		}
 	}
 	seconds, err := strconv.ParseFloat(text, 64)
-	if err != nil || !(seconds > 0) || seconds > maxPatience.Seconds() {
+	if err != nil || !(seconds > 0) || seconds > maxCallerTimeout.Seconds() {
 		return 0
 	}
 	return time.Duration(seconds * float64(time.Second))
 }
 
-// maxPatience is the longest patience that is taken into account.
-const maxPatience = 24 * time.Hour
+// maxCallerTimeout is the longest caller timeout that is accepted.
+const maxCallerTimeout = 24 * time.Hour
 
-// wholeSeconds returns a time in whole seconds, rounded up.
+// wholeSeconds formats a duration in whole seconds, rounded up.
 func wholeSeconds(d time.Duration) string { return strconv.Itoa(int(math.Ceil(d.Seconds()))) }
 
-// loadOf reads a load of the form USED/SLOTS; one that can't be read is unknown.
+// loadOf parses a load of the form USED/SLOTS. A malformed load is returned as unknown.
 func loadOf(text string) descriptor.Load {
 	used, slots, ok := strings.Cut(text, "/")
 	if !ok {
--- a/forwarder/keys_test.go
+++ b/forwarder/keys_test.go
@@ -7,7 +7,8 @@
 	"monsoonswitch/asserter"
 )
 
-// TestKeys guards the names of the fields that callers read.
+// TestKeys compares the encoded field names of the answers to callers with a golden
+// file.
 func TestKeys(t *testing.T) {
 	asserter.Keys(t, "testdata/keys.golden", map[string]any{
 		"addresses": AddressAnswer{},
--- a/forwarder/own.go
+++ b/forwarder/own.go
@@ -12,21 +12,24 @@
 	"monsoonswitch/keeper"
 )
 
-// Paths that instances answer themselves.
+// Paths that instances serve themselves.
 const (
-	ownPath     = "/-/"
+	// localPath is the prefix of all of them.
+	localPath = "/-/"
+	// AddressPath lists the addresses to use for a service.
 	AddressPath = "/-/addresses"
-	ReadyPath   = "/-/ready"
+	// ReadyPath reports whether the instance is ready.
+	ReadyPath = "/-/ready"
 )
 
-func isOwnPath(path string) bool { return strings.HasPrefix(path, ownPath) }
+func isLocalPath(path string) bool { return strings.HasPrefix(path, localPath) }
 
-// AddressAnswer tells a caller which addresses to use for a service.
+// AddressAnswer lists the addresses that a caller uses for a service.
 type AddressAnswer struct {
 	Service string `json:"service"`
-	// Addresses are to be tried in this order.
+	// Addresses are in the order in which the caller tries them.
 	Addresses []Address `json:"addresses"`
-	// Keep is how long to use this answer, in seconds.
+	// Keep is how long the caller may cache this answer, in seconds.
 	Keep     float64 `json:"keep"`
 	Revision uint64  `json:"revision"`
 	State    string  `json:"state"`
@@ -36,17 +39,17 @@
 type Address struct {
 	// Address is host:port.
 	Address string `json:"address"`
-	// Ticket begins the idempotency keys of work that is sent to this address
-	// first.
+	// Ticket is the prefix for the idempotency keys of work that is sent to this
+	// address first.
 	Ticket string `json:"ticket"`
 }
 
-// problem is the body of an answer to a request that can't be met.
+// problem is the JSON body of the answers about readiness and of errors.
 type problem struct {
 	Reason string `json:"reason"`
 }
 
-func (p Plain) serveOwn(w http.ResponseWriter, r *http.Request, directory *descriptor.Directory) {
+func (p StandardDialect) serveLocal(w http.ResponseWriter, r *http.Request, directory *descriptor.Directory) {
 	switch {
 	case r.Method != http.MethodGet && r.Method != http.MethodHead:
 		writeJSON(w, http.StatusMethodNotAllowed, problem{"method"})
@@ -61,8 +64,8 @@
 	}
 }
 
-// serveAddresses answers which addresses to use for a service.
-func (p Plain) serveAddresses(w http.ResponseWriter, r *http.Request, d *descriptor.Directory) {
+// serveAddresses answers with the addresses to use for a service.
+func (p StandardDialect) serveAddresses(w http.ResponseWriter, r *http.Request, d *descriptor.Directory) {
 	if !d.Ready {
 		w.Header().Set("Retry-After", "1")
 		writeJSON(w, http.StatusServiceUnavailable, problem{descriptor.Starting.String()})
@@ -87,28 +90,31 @@
 	})
 }
 
-// addresses lists the serving instances, those in the given failure domain
-// first. Within each part different callers start at different instances.
+// addresses lists the serving instances, with those in the given failure domain first.
+// Within each of the two groups the hash of the caller chooses the first instance, which
+// distributes callers over the instances.
 func addresses(e *descriptor.Entry, domain, caller string) []Address {
-	var near, far []Address
+	var sameDomain, otherDomains []Address
 	now := time.Now()
 	for _, m := range e.Serving {
 		a := Address{Address: m.Public, Ticket: keeper.TicketOf(m, now).String()}
 		if m.Domain == domain {
-			near = append(near, a)
+			sameDomain = append(sameDomain, a)
 		} else {
-			far = append(far, a)
+			otherDomains = append(otherDomains, a)
 		}
 	}
-	turn := xxhash.Sum64String(caller)
-	return append(rotate(near, turn), rotate(far, turn)...)
+	start := xxhash.Sum64String(caller)
+	return append(rotate(sameDomain, start), rotate(otherDomains, start)...)
 }
 
-func rotate(list []Address, turn uint64) []Address {
+// rotate returns list rotated left by start modulo its length.
+// rotate returns list rotated left by start modulo its length.
+func rotate(list []Address, start uint64) []Address {
 	if len(list) == 0 {
 		return nil
 	}
-	k := int(turn % uint64(len(list)))
+	k := int(start % uint64(len(list)))
 	return append(append([]Address(nil), list[k:]...), list[:k]...)
 }
 
--- a/forwarder/routed_test.go
+++ b/forwarder/routed_test.go
@@ -14,10 +14,10 @@
 	"monsoonswitch/descriptor"
 )
 
-// retrying is a control that sends a request again as long as it did not run and
-// its body can be sent again.
+// retrying is a Control that resends a request while the work did not run and the body
+// can be sent again.
 type retrying struct {
-	*simple
+	*singleBackend
 	mu       sync.Mutex
 	attempts map[descriptor.RequestID]descriptor.AttemptID
 }
@@ -26,18 +26,18 @@
 func (c *retrying) Post(event descriptor.Event) {
 	e, ok := event.(descriptor.Failed)
 	if !ok || e.Fault != descriptor.FaultShed || !e.Untouched {
-		c.simple.Post(event)
+		c.singleBackend.Post(event)
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.attempts[e.Request]++
-	c.simple.mu.Lock()
-	defer c.simple.mu.Unlock()
+	c.singleBackend.mu.Lock()
+	defer c.singleBackend.mu.Unlock()
 	c.open[e.Request] <- descriptor.Dispatch{Request: e.Request, Attempt: 1 + c.attempts[e.Request], Backend: descriptor.Backend{ID: "b", Address: c.address}}
 }
 
-// routes returns a directory with one route, confirmed as of a time.
+// routes returns a directory with a route for each path, confirmed as of current.
 func routes(current time.Time, paths ...string) *descriptor.Directory {
 	r := declarer.Routing{Version: 1}
 	for _, p := range paths {
@@ -52,7 +52,9 @@
 	}
 }
 
-func (x *rig) ask(path string) int {
+// ask sends a request for a path to the host of the routes and returns the status.
+// ask sends a request for a path to the host of the routes and returns the status.
+func (x *fixture) ask(path string) int {
 	r := x.request("GET", path, nil)
 	r.Host = "a.example"
 	response, _, err := x.do(r)
@@ -61,7 +63,7 @@
 }
 
 func TestRoutes(t *testing.T) {
-	x := newRig(t, func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusTeapot) })
+	x := newFixture(t, func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusTeapot) })
 	f := x.forwarder
 	t.Run("a known route", func(t *testing.T) {
 		f.SetDirectory(routes(time.Time{}, "/a/"))
@@ -70,11 +72,11 @@
 		asserter.Equal(t, "service", arrived.Service, "ledger")
 		asserter.True(t, "the timeout bounds the deadline", arrived.Deadline.Sub(arrived.At) <= 3*time.Second)
 	})
-	t.Run("no route, and the store was asked after the request came", func(t *testing.T) {
+	t.Run("no route as of a time after the arrival of the request", func(t *testing.T) {
 		f.SetDirectory(routes(time.Now().Add(time.Minute), "/a/"))
 		asserter.Equal(t, "status", x.ask("/b/1"), http.StatusNotFound)
 	})
-	t.Run("a route that is news", func(t *testing.T) {
+	t.Run("a route that is added while the request waits", func(t *testing.T) {
 		f.SetDirectory(routes(time.Now().Add(-time.Minute), "/a/"))
 		go func() {
 			time.Sleep(50 * time.Millisecond)
@@ -82,16 +84,16 @@
 		}()
 		asserter.Equal(t, "status", x.ask("/b/1"), http.StatusTeapot)
 	})
-	t.Run("no route, and nobody can tell", func(t *testing.T) {
+	t.Run("no route, and no confirmation in time", func(t *testing.T) {
 		f.SetDirectory(routes(time.Now().Add(-time.Minute), "/a/"))
 		asserter.Equal(t, "status", x.ask("/b/1"), http.StatusServiceUnavailable)
 	})
 }
 
-func TestBodyAgain(t *testing.T) {
+func TestBodyReplay(t *testing.T) {
 	var calls atomic.Int32
 	var last atomic.Value
-	x := newRig(t, func(w http.ResponseWriter, r *http.Request) {
+	x := newFixture(t, func(w http.ResponseWriter, r *http.Request) {
 		data, _ := io.ReadAll(r.Body)
 		last.Store(string(data))
 		if calls.Add(1) < 3 {
@@ -99,45 +101,46 @@
 			w.WriteHeader(http.StatusServiceUnavailable)
 		}
 	})
-	control := &retrying{simple: x.control, attempts: make(map[descriptor.RequestID]descriptor.AttemptID)}
+	control := &retrying{singleBackend: x.control, attempts: make(map[descriptor.RequestID]descriptor.AttemptID)}
 	x.forwarder.control = control
 	body := strings.Repeat("photo", 20000)
 	response, _, err := x.do(x.request("POST", "/a", strings.NewReader(body)))
 	asserter.NoError(t, "send", err)
 	asserter.Equal(t, "status", response.StatusCode, 200)
 	asserter.Equal(t, "attempts", calls.Load(), int32(3))
-	asserter.True(t, "whole body", last.Load().(string) == body)
+	asserter.True(t, "complete body", last.Load().(string) == body)
 }
 
-// straying is a dialect for which every answer belongs to another request.
-type straying struct{ Plain }
+// mismatching is a Dialect that reports every answer as that of another request.
+type mismatching struct{ StandardDialect }
 
-// Read implements Dialect.
-func (straying) Read(*http.Response, string) Head { return Head{Stray: true} }
+// ParseHead implements Dialect.
+func (mismatching) ParseHead(*http.Response, string) Head { return Head{Mismatched: true} }
 
-func TestStrayAnswer(t *testing.T) {
+func TestMismatchedAnswer(t *testing.T) {
 	var connections sync.Map
-	x := newRig(t, func(w http.ResponseWriter, r *http.Request) {
+	x := newFixture(t, func(w http.ResponseWriter, r *http.Request) {
 		connections.Store(r.RemoteAddr, true)
 		_, _ = io.WriteString(w, "somebody else's")
 	})
-	x.forwarder.dialect = straying{}
+	x.forwarder.dialect = mismatching{}
 	for range 3 {
 		response, body, err := x.do(x.request("GET", "/a", nil))
 		asserter.NoError(t, "send", err)
 		asserter.Equal(t, "status", response.StatusCode, http.StatusBadGateway)
-		asserter.Equal(t, "nothing of it", strings.Contains(body, "somebody"), false)
+		asserter.Equal(t, "body of the other request delivered", strings.Contains(body, "somebody"), false)
 	}
 	used := 0
 	connections.Range(func(any, any) bool { used++; return true })
 	asserter.Equal(t, "connections, each used once", used, 3)
 }
 
-// TestOnceByGet breaks kept connections under work that may not run twice although
-// its method is GET: it reaches the backend server once.
-func TestOnceByGet(t *testing.T) {
+// TestNonIdempotentGetSentOnce breaks reused connections under non-idempotent work whose
+// method is GET, which net/http would resend. The work must reach the backend server
+// once.
+func TestNonIdempotentGetSentOnce(t *testing.T) {
 	var seen sync.Map
-	x := newRig(t, func(_ http.ResponseWriter, r *http.Request) {
+	x := newFixture(t, func(_ http.ResponseWriter, r *http.Request) {
 		n, _ := seen.LoadOrStore(r.URL.Path, new(atomic.Int32))
 		n.(*atomic.Int32).Add(1)
 		if strings.HasPrefix(r.URL.Path, "/a/break") {
@@ -148,7 +151,7 @@
 	for i := range 20 {
 		asserter.Equal(t, "status", x.ask("/a/fine"), http.StatusOK)
 		path := "/a/break" + strings.Repeat("x", i)
-		asserter.Equal(t, "status of the broken one", x.ask(path), http.StatusBadGateway)
+		asserter.Equal(t, "status on a broken connection", x.ask(path), http.StatusBadGateway)
 		n, _ := seen.Load(path)
 		asserter.Equal(t, "runs", n.(*atomic.Int32).Load(), int32(1))
 	}
--- a/forwarder/session.go
+++ b/forwarder/session.go
@@ -15,38 +15,39 @@
 
 // session is one request of a caller.
 type session struct {
-	owner   *Forwarder
-	w       http.ResponseWriter
-	r       *http.Request
-	id      descriptor.RequestID
-	started time.Time
-	entry   *descriptor.Entry
-	class   declarer.Class
-	service string
-	body    *callerBody
-	// label is the caller's own identifier of the request.
+	forwarder *Forwarder
+	w         http.ResponseWriter
+	r         *http.Request
+	id        descriptor.RequestID
+	started   time.Time
+	entry     *descriptor.Entry
+	class     declarer.Class
+	service   string
+	body      *callerBody
+	// label is the caller's identifier of the request.
 	label string
-	// deadline is when the caller stops waiting; zero means that it never does.
+	// deadline is when the caller stops waiting; zero means that there is no deadline.
 	deadline time.Time
-	// gone is nil once the caller's leaving was posted, which away tells.
-	gone     <-chan struct{}
-	away     bool
-	attempts map[descriptor.AttemptID]*attempt
-	running  sync.WaitGroup
+	// callerDone is closed when the caller disconnects. It is nil once this was
+	// posted, and callerLeft is set then.
+	callerDone <-chan struct{}
+	callerLeft bool
+	attempts   map[descriptor.AttemptID]*attempt
+	running    sync.WaitGroup
 }
 
 func newSession(f *Forwarder, w http.ResponseWriter, r *http.Request) *session {
 	s := &session{
-		owner:    f,
-		w:        w,
-		r:        r,
-		id:       descriptor.RequestID(f.requests.Add(1)),
-		started:  time.Now(),
-		gone:     r.Context().Done(),
-		attempts: make(map[descriptor.AttemptID]*attempt),
+		forwarder:  f,
+		w:          w,
+		r:          r,
+		id:         descriptor.RequestID(f.requests.Add(1)),
+		started:    time.Now(),
+		callerDone: r.Context().Done(),
+		attempts:   make(map[descriptor.AttemptID]*attempt),
 	}
 	s.label = f.dialect.Label(r)
-	if p := f.dialect.Patience(r); p > 0 {
+	if p := f.dialect.CallerTimeout(r); p > 0 {
 		s.deadline = s.started.Add(p)
 	}
 	return s
@@ -54,7 +55,7 @@
 
 // locate finds the service and the class of the request.
 func (s *session) locate() (descriptor.Reason, bool) {
-	directory := s.owner.snapshot.Load()
+	directory := s.forwarder.snapshot.Load()
 	if directory.Routes != nil {
 		return s.locateRoute(directory)
 	}
@@ -68,15 +69,16 @@
 	return descriptor.Served, true
 }
 
-// locateRoute finds the route of the request by host and path. A route that is
-// not known may be a new one: only knowledge of the platform's store that is
-// newer than the request can tell that there is none.
+// locateRoute finds the route of the request by host and path. An unknown route may be
+// new, so the request waits up to routeUpdateWait. It is refused as an unknown route only
+// once the directory reflects a state of the platform's store that is newer than the
+// request.
 func (s *session) locateRoute(d *snapshot) (descriptor.Reason, bool) {
-	timer := time.NewTimer(routeWait)
+	timer := time.NewTimer(routeUpdateWait)
 	defer timer.Stop()
 	for {
 		if route, ok := d.Routes.Match(s.r.Host, s.r.URL.EscapedPath()); ok {
-			s.service = route.Choose(s.owner.turn(route.Class.Name))
+			s.service = route.Choose(s.forwarder.countRoute(route.Class.Name))
 			s.class = route.Class
 			s.entry = d.Services[s.service]
 			if t := s.started.Add(route.Class.Timeout); route.Class.Timeout > 0 && (s.deadline.IsZero() || t.Before(s.deadline)) {
@@ -89,29 +91,30 @@
 		}
 		select {
 		case <-d.replaced:
-			d = s.owner.snapshot.Load()
+			d = s.forwarder.snapshot.Load()
 		case <-timer.C:
 			return descriptor.Starting, false
-		case <-s.gone:
+		case <-s.callerDone:
 			return descriptor.Abandoned, false
 		}
 	}
 }
 
-// routeWait is the longest wait for news of a route that is not known; the news
-// comes with the next confirmation of a follower of the store.
-const routeWait = 900 * time.Millisecond
+// routeUpdateWait bounds the wait for an update of the directory when a route is
+// unknown. The update arrives when an instance that follows the store next confirms its
+// state.
+const routeUpdateWait = 900 * time.Millisecond
 
-// left returns the time until the deadline, or 0 if there is none.
-func (s *session) left(now time.Time) time.Duration {
+// timeLeft returns the time until the deadline, at least 1 ms, or 0 if there is none.
+func (s *session) timeLeft(now time.Time) time.Duration {
 	if s.deadline.IsZero() {
 		return 0
 	}
 	return max(s.deadline.Sub(now), time.Millisecond)
 }
 
-// serviceName returns the service that a request is for: the header Service, or
-// the first label of its host.
+// serviceName returns the service of a request: the value of the header Service, or
+// the first label of the host.
 func serviceName(r *http.Request) string {
 	if name := r.Header.Get(headerService); name != "" {
 		return name
@@ -121,47 +124,48 @@
 	return name
 }
 
-// run serves the request to its end.
+// run serves the request until it ends.
 func (s *session) run() {
-	if reason, ok := s.unfit(); ok {
+	if reason, ok := s.precheck(); ok {
 		s.refuse(descriptor.Refuse{Reason: reason})
 		return
 	}
 	s.body = newCallerBody(s)
 	if s.body != nil {
-		// Answers may begin before the caller has sent everything.
+		// The answer may begin before the caller has sent the whole body.
 		_ = http.NewResponseController(s.w).EnableFullDuplex()
 	}
-	actions := s.owner.control.Open(s.arrived())
-	defer s.owner.control.Release(s.id)
+	actions := s.forwarder.control.Open(s.arrived())
+	defer s.forwarder.control.Release(s.id)
 	defer s.stopAttempts()
 	for {
 		select {
 		case a := <-actions:
-			if s.obey(a) {
+			if s.apply(a) {
 				return
 			}
-		case <-s.gone:
-			s.gone = nil
-			s.away = true
-			s.owner.control.Post(descriptor.Gone{At: time.Now(), Request: s.id})
+		case <-s.callerDone:
+			s.callerDone = nil
+			s.callerLeft = true
+			s.forwarder.control.Post(descriptor.Gone{At: time.Now(), Request: s.id})
 		}
 	}
 }
 
-// unfit returns why a request can't be handed to the decisions at all.
-func (s *session) unfit() (descriptor.Reason, bool) {
+// precheck returns a reason and true if the request is refused without being passed to
+// the control goroutine.
+func (s *session) precheck() (descriptor.Reason, bool) {
 	switch {
 	case s.r.Method == http.MethodConnect || s.r.Header.Get("Upgrade") != "":
 		return descriptor.Unsupported, true
-	case !s.owner.snapshot.Load().Ready:
+	case !s.forwarder.snapshot.Load().Ready:
 		return descriptor.Starting, true
 	}
 	reason, ok := s.locate()
 	return reason, !ok
 }
 
-// arrived describes the request to the decisions.
+// arrived returns the event that describes the request to the control goroutine.
 func (s *session) arrived() descriptor.Arrived {
 	hasBody := s.body != nil
 	return descriptor.Arrived{
@@ -172,7 +176,7 @@
 		Caller:      s.caller(),
 		Key:         s.r.Header.Get(headerKey),
 		Fingerprint: s.fingerprint(),
-		Replayable:  !hasBody || s.r.ContentLength > 0 && s.r.ContentLength <= maxKept,
+		Replayable:  !hasBody || s.r.ContentLength > 0 && s.r.ContentLength <= maxBufferedBytes,
 		Body:        hasBody,
 		Size:        s.r.ContentLength,
 		Deadline:    s.deadline,
@@ -180,9 +184,9 @@
 	}
 }
 
-// caller tells callers apart for fair shares.
+// caller returns the identity of the caller, by which fair shares are computed.
 func (s *session) caller() string {
-	if h := s.owner.options.CallerHeader; h != "" {
+	if h := s.forwarder.options.CallerHeader; h != "" {
 		if v := s.r.Header.Get(h); v != "" {
 			return v
 		}
@@ -190,7 +194,7 @@
 	return hostOf(s.r.RemoteAddr)
 }
 
-// fingerprint is equal for requests of one caller that ask for the same.
+// fingerprint returns a hash that is equal for identical requests of one caller.
 func (s *session) fingerprint() uint64 {
 	h := xxhash.New()
 	for _, part := range []string{s.service, s.r.Method, s.r.URL.RequestURI(), s.r.Header.Get("Content-Length"), s.caller()} {
@@ -200,8 +204,9 @@
 	return h.Sum64()
 }
 
-// obey does what the decisions say and tells whether the request ended.
-func (s *session) obey(action descriptor.RequestAction) bool {
+// apply carries out an action of the control goroutine and reports whether the request
+// ended.
+func (s *session) apply(action descriptor.RequestAction) bool {
 	switch a := action.(type) {
 	case descriptor.Dispatch:
 		s.dispatch(a)
@@ -219,13 +224,13 @@
 	return false
 }
 
-// dispatch starts an attempt. It outlives the caller: whether it ends early is
-// for the decisions to say.
+// dispatch starts an attempt. The attempt is not cancelled when the caller disconnects;
+// only the control goroutine cancels it.
 func (s *session) dispatch(a descriptor.Dispatch) {
 	ctx, cancel := context.WithCancel(context.WithoutCancel(s.r.Context()))
 	t := &attempt{session: s, id: a.Attempt, backend: a.Backend, ctx: ctx, cancel: cancel}
 	s.attempts[a.Attempt] = t
-	s.owner.recorder.Attempt()
+	s.forwarder.recorder.Attempt()
 	s.running.Add(1)
 	go func() {
 		defer s.running.Done()
@@ -233,7 +238,7 @@
 	}()
 }
 
-// stopAttempts cancels every attempt and waits for its goroutine, which reads
+// stopAttempts cancels all attempts and waits for their goroutines, because they read
 // the caller's body.
 func (s *session) stopAttempts() {
 	for _, t := range s.attempts {
@@ -245,7 +250,8 @@
 	}
 }
 
-// deliver passes the answer of an attempt to the caller.
+// deliver copies the answer of an attempt to the caller and reports whether the request
+// ended.
 func (s *session) deliver(a descriptor.Deliver) bool {
 	t, ok := s.attempts[a.Attempt]
 	if !ok || t.response == nil {
@@ -253,24 +259,24 @@
 	}
 	bytes, err := s.copyAnswer(t.response)
 	if err != nil {
-		return s.cut(a.Attempt, bytes)
+		return s.abortCut(a.Attempt, bytes)
 	}
 	now := time.Now()
-	s.owner.control.Post(descriptor.Finished{At: now, Request: s.id, Attempt: a.Attempt, Bytes: bytes})
+	s.forwarder.control.Post(descriptor.Finished{At: now, Request: s.id, Attempt: a.Attempt, Bytes: bytes})
 	reason := descriptor.Served
-	if s.away {
+	if s.callerLeft {
 		reason = descriptor.Abandoned
 	}
-	s.owner.recorder.End(reason, now.Sub(s.started), bytes)
+	s.forwarder.recorder.End(reason, now.Sub(s.started), bytes)
 	return true
 }
 
-// cut ends a request whose answer broke off. The connection or stream to the
-// caller is broken, so that the answer can't look whole.
-func (s *session) cut(id descriptor.AttemptID, bytes uint64) bool {
+// abortCut ends a request whose answer was truncated. It aborts the connection or stream
+// to the caller, so that the truncated answer can't be taken for a complete one.
+func (s *session) abortCut(id descriptor.AttemptID, bytes uint64) bool {
 	now := time.Now()
-	s.owner.control.Post(descriptor.Failed{At: now, Request: s.id, Attempt: id, Fault: descriptor.FaultCut})
-	s.owner.recorder.Fault()
-	s.owner.recorder.End(descriptor.AnswerCut, now.Sub(s.started), bytes)
+	s.forwarder.control.Post(descriptor.Failed{At: now, Request: s.id, Attempt: id, Fault: descriptor.FaultCut})
+	s.forwarder.recorder.Fault()
+	s.forwarder.recorder.End(descriptor.AnswerCut, now.Sub(s.started), bytes)
 	panic(http.ErrAbortHandler)
 }
--- a/server/server.go
+++ b/server/server.go
@@ -170,7 +170,7 @@
 	if s.routed() {
 		return platform.NewDialect(o.Keep, o.Domain)
 	}
-	return forwarder.NewPlain(o)
+	return forwarder.NewStandardDialect(o)
 }
 
 // machine returns the decisions with the policies that the settings name.
