--- a/listener/listener.go
+++ b/listener/listener.go
@@ -1,5 +1,5 @@
-// Package listener runs HTTP servers on go-zero's rest without the parts of it
-// that would cut long uploads, refuse work or hide truncated answers.
+// Package listener runs HTTP servers on go-zero's rest. It turns off the features of rest
+// that would abort long uploads, refuse work or hide truncated answers.
 package listener
 
 import (
@@ -17,29 +17,30 @@
 	"github.com/zeromicro/go-zero/rest/httpx"
 )
 
-// ErrListen reports an address that can't be listened on.
+// ErrListen reports that listening on an address failed.
 var ErrListen = eris.New("can't listen")
 
 const (
-	// startWait is the longest wait for a server to listen.
-	startWait = 5 * time.Second
-	// quitTime keeps go-zero from ending the process by itself: the shutdown
-	// of an instance takes as long as its longest upload.
-	quitTime = 24 * 365 * time.Hour
+	// startTimeout bounds the time until a server listens.
+	startTimeout = 5 * time.Second
+	// exitDelay is the delay after which go-zero ends the process on a signal. One year
+	// means never in practice: the shutdown of an instance takes as long as its longest
+	// upload.
+	exitDelay = 24 * 365 * time.Hour
 )
 
-// Options are the limits of a server.
+// Options configure a server.
 type Options struct {
-	// Address is host:port; port 0 chooses a free one.
+	// Address is host:port; port 0 means a free port.
 	Address string
-	// HeaderTimeout bounds the time for the head of a request.
+	// HeaderTimeout bounds the time for reading the head of a request.
 	HeaderTimeout time.Duration
 	// IdleTimeout bounds the time between requests of a connection.
 	IdleTimeout time.Duration
-	// HeaderBytes bounds the head of a request.
+	// HeaderBytes bounds the head of a request in bytes.
 	HeaderBytes int
-	// Plain2 allows HTTP/2 without TLS.
-	Plain2 bool
+	// UnencryptedHTTP2 enables HTTP/2 without TLS.
+	UnencryptedHTTP2 bool
 }
 
 // Listener is a running HTTP server.
@@ -50,17 +51,18 @@
 
 var configure sync.Once
 
-// Configure turns off what go-zero does to the whole process: its log, its
-// statistics and its timed exit on signals. Only the first call has an effect.
+// Configure turns off the process-wide features of go-zero: its log, its statistics and
+// its timed exit on signals. Only the first call has an effect.
 func Configure() {
 	configure.Do(func() {
 		logx.Disable()
 		logx.DisableStat()
-		proc.Setup(proc.ShutdownConf{WrapUpTime: quitTime, WaitTime: 2 * quitTime})
+		proc.Setup(proc.ShutdownConf{WrapUpTime: exitDelay, WaitTime: 2 * exitDelay})
 	})
 }
 
-// New starts a server with a handler for all requests.
+// New starts a server with a handler for all requests. It returns ErrListen if the
+// server can't listen on the address.
 func New(o Options, handler http.Handler) (*Listener, error) {
 	host, portText, err := net.SplitHostPort(o.Address)
 	if err != nil {
@@ -72,15 +74,16 @@
 	}
 	Configure()
 	conf := rest.RestConf{Host: host, Port: port}
-	server, err := rest.NewServer(conf, rest.WithRouter(catchAll{handler}))
+	server, err := rest.NewServer(conf, rest.WithRouter(singleHandlerRouter{handler}))
 	if err != nil {
 		return nil, eris.Wrapf(ErrListen, "%q: %v", o.Address, err)
 	}
 	return start(o, server)
 }
 
-// start runs the server in the background and waits until it listens. Start of
-// rest ends the process on errors, so the address is tried out first.
+// start runs the server in the background and waits until it listens. The start function
+// of rest ends the process on errors, so start first checks that the address can be
+// listened on.
 func start(o Options, server *rest.Server) (*Listener, error) {
 	probe, err := net.Listen("tcp", o.Address)
 	if err != nil {
@@ -100,49 +103,55 @@
 	select {
 	case l := <-ready:
 		return l, nil
-	case <-time.After(startWait):
-		return nil, eris.Wrapf(ErrListen, "%q: not started in %v", o.Address, startWait)
+	case <-time.After(startTimeout):
+		return nil, eris.Wrapf(ErrListen, "%q: not started in %v", o.Address, startTimeout)
 	}
 }
 
+// apply copies the options to an HTTP server.
 func (o Options) apply(s *http.Server) {
 	s.ReadHeaderTimeout = o.HeaderTimeout
 	s.IdleTimeout = o.IdleTimeout
 	s.MaxHeaderBytes = o.HeaderBytes
 	protocols := new(http.Protocols)
 	protocols.SetHTTP1(true)
-	protocols.SetUnencryptedHTTP2(o.Plain2)
+	protocols.SetUnencryptedHTTP2(o.UnencryptedHTTP2)
 	s.Protocols = protocols
 }
 
 // Address returns the host:port listened on.
 func (l *Listener) Address() string { return l.address }
 
-// Shutdown takes no new connections and waits for requests in flight until ctx
-// ends.
+// Shutdown stops accepting connections and waits for requests in flight until ctx
+// ends. It returns an error if requests are still in flight then.
 func (l *Listener) Shutdown(ctx context.Context) error {
 	return eris.Wrap(l.server.Shutdown(ctx), "shut down listener")
 }
 
-// Close ends all connections at once.
+// Close closes all connections immediately.
 func (l *Listener) Close() error {
 	return eris.Wrap(l.server.Close(), "close listener")
 }
 
-// catchAll is a router that passes every request to one handler. The router of
-// rest has no wildcard, and its not-found handler adds a status to answers.
-type catchAll struct{ handler http.Handler }
+// singleHandlerRouter is a router that passes every request to one handler. It replaces
+// the router of rest, which has no wildcard and whose not-found handler adds a status to
+// answers.
+type singleHandlerRouter struct{ handler http.Handler }
 
-var _ httpx.Router = catchAll{}
+var _ httpx.Router = singleHandlerRouter{}
 
 // ServeHTTP implements http.Handler.
-func (c catchAll) ServeHTTP(w http.ResponseWriter, r *http.Request) { c.handler.ServeHTTP(w, r) }
+func (c singleHandlerRouter) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	c.handler.ServeHTTP(w, r)
+}
 
-// Handle implements httpx.Router; there are no routes to add.
-func (c catchAll) Handle(string, string, http.Handler) error { return nil }
+// Handle implements httpx.Router and does nothing, because there are no routes.
+func (c singleHandlerRouter) Handle(string, string, http.Handler) error { return nil }
 
-// SetNotFoundHandler implements httpx.Router; every request is found.
-func (c catchAll) SetNotFoundHandler(http.Handler) {}
+// SetNotFoundHandler implements httpx.Router and does nothing, because every request has
+// a handler.
+func (c singleHandlerRouter) SetNotFoundHandler(http.Handler) {}
 
-// SetNotAllowedHandler implements httpx.Router; every method is allowed.
-func (c catchAll) SetNotAllowedHandler(http.Handler) {}
+// SetNotAllowedHandler implements httpx.Router and does nothing, because every method is
+// allowed.
+func (c singleHandlerRouter) SetNotAllowedHandler(http.Handler) {}
--- a/server/added_test.go
+++ b/server/added_test.go
@@ -14,14 +14,16 @@
 	"monsoonswitch/imitator"
 )
 
-// pair is an instance before backend servers that answer at once.
-func pair(b *testing.B) (through, direct string) {
+// startFixture starts an instance with backend servers that answer immediately. It
+// returns the addresses of the instance and of one backend server.
+func startFixture(b *testing.B) (through, direct string) {
 	f := oneInstance(b, 6, imitator.BackendOptions{Slots: 64, Backlog: 64})
 	return f.Entries()[0], f.Backends[0].Listed.Address
 }
 
 var client = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256}}
 
+// ask sends one request and returns its latency.
 func ask(b *testing.B, address string) time.Duration {
 	start := time.Now()
 	r, err := http.NewRequestWithContext(context.Background(), http.MethodGet, "http://"+address+"/lines/1?size=256", nil)
@@ -41,8 +43,9 @@
 	return time.Since(start)
 }
 
-// steady asks at a fixed rate, through and directly in turn.
-func steady(b *testing.B, through, direct string, rate int, length time.Duration) (t, d *hdrhistogram.Histogram) {
+// measureFixedRate sends requests at a fixed rate, alternately through the instance and
+// directly, and returns the latencies of both in microseconds.
+func measureFixedRate(b *testing.B, through, direct string, rate int, length time.Duration) (t, d *hdrhistogram.Histogram) {
 	t, d = hdrhistogram.New(1, 10_000_000, 3), hdrhistogram.New(1, 10_000_000, 3)
 	var mu sync.Mutex
 	var group sync.WaitGroup
@@ -67,16 +70,16 @@
 	return t, d
 }
 
-// BenchmarkAdded measures the latency that an instance adds, callers and backend
-// servers in the same process.
+// BenchmarkAdded measures the latency that an instance adds. Callers and backend servers
+// run in the same process.
 func BenchmarkAdded(b *testing.B) {
-	through, direct := pair(b)
+	through, direct := startFixture(b)
 	for _, rate := range []struct {
 		name string
 		rate int
 	}{{"200 a second", 200}, {"2000 a second", 2000}} {
 		b.Run(rate.name, func(b *testing.B) {
-			t, d := steady(b, through, direct, rate.rate, 5*time.Second)
+			t, d := measureFixedRate(b, through, direct, rate.rate, 5*time.Second)
 			b.ReportMetric(float64(d.ValueAtQuantile(50)), "direct-p50-µs")
 			b.ReportMetric(float64(d.ValueAtQuantile(99)), "direct-p99-µs")
 			b.ReportMetric(float64(t.ValueAtQuantile(50)-d.ValueAtQuantile(50)), "added-p50-µs")
@@ -89,14 +92,14 @@
 	}
 }
 
-// saturate asks from many goroutines at once for a while.
+// saturate sends requests from 64 goroutines for 4 s and reports throughput and latency.
 func saturate(b *testing.B, address string) {
 	const workers = 64
 	const length = 4 * time.Second
 	h := hdrhistogram.New(1, 10_000_000, 3)
 	var mu sync.Mutex
 	var group sync.WaitGroup
-	used := cpu()
+	used := cpuTime()
 	end := time.Now().Add(length)
 	for range workers {
 		group.Add(1)
@@ -111,7 +114,7 @@
 		}()
 	}
 	group.Wait()
-	used = cpu() - used
+	used = cpuTime() - used
 	b.ReportMetric(float64(h.TotalCount())/length.Seconds(), "requests/s")
 	b.ReportMetric(float64(h.TotalCount())/used.Seconds(), "requests/core-s")
 	b.ReportMetric(float64(h.ValueAtQuantile(50)), "p50-µs")
@@ -119,7 +122,8 @@
 	b.ReportMetric(0, "ns/op")
 }
 
-func cpu() time.Duration {
+// cpuTime returns the CPU time that the process has used.
+func cpuTime() time.Duration {
 	var u syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &u) != nil {
 		return 0
--- a/server/gate.go
+++ b/server/gate.go
@@ -7,7 +7,7 @@
 	"monsoonswitch/operator"
 )
 
-// gate is a handler that holds requests until the handler behind it exists.
+// gate is a handler that blocks requests until the actual handler is set.
 type gate struct {
 	once    sync.Once
 	opened  chan struct{}
@@ -32,7 +32,7 @@
 	}
 }
 
-// gates are those of the listeners.
+// gates holds the gate of each kind of listener.
 type gates struct{ callers, questions, inner, operators *gate }
 
 func newGates() *gates { return &gates{newGate(), newGate(), newGate(), newGate()} }
--- a/server/late.go
+++ b/server/late.go
@@ -5,34 +5,34 @@
 	"monsoonswitch/descriptor"
 )
 
-// late passes calls on to a controller that is created after its users. They
-// wait for it.
-type late struct {
-	ready chan struct{}
-	to    *controller.Controller
+// controlProxy forwards calls to a controller that is created after its users. Calls
+// block until the controller is set.
+type controlProxy struct {
+	ready      chan struct{}
+	controller *controller.Controller
 }
 
-func newLate() *late { return &late{ready: make(chan struct{})} }
+func newControlProxy() *controlProxy { return &controlProxy{ready: make(chan struct{})} }
 
-func (l *late) set(c *controller.Controller) {
-	l.to = c
-	close(l.ready)
+func (p *controlProxy) set(c *controller.Controller) {
+	p.controller = c
+	close(p.ready)
 }
 
 // Post implements linker.Poster, storer.Poster and forwarder.Control.
-func (l *late) Post(e descriptor.Event) {
-	<-l.ready
-	l.to.Post(e)
+func (p *controlProxy) Post(e descriptor.Event) {
+	<-p.ready
+	p.controller.Post(e)
 }
 
 // Open implements forwarder.Control.
-func (l *late) Open(e descriptor.Arrived) <-chan descriptor.RequestAction {
-	<-l.ready
-	return l.to.Open(e)
+func (p *controlProxy) Open(e descriptor.Arrived) <-chan descriptor.RequestAction {
+	<-p.ready
+	return p.controller.Open(e)
 }
 
 // Release implements forwarder.Control.
-func (l *late) Release(id descriptor.RequestID) {
-	<-l.ready
-	l.to.Release(id)
+func (p *controlProxy) Release(id descriptor.RequestID) {
+	<-p.ready
+	p.controller.Release(id)
 }
--- a/server/server.go
+++ b/server/server.go
@@ -27,7 +27,7 @@
 	"monsoonswitch/storer"
 )
 
-// closeTime bounds the closing of idle connections at the end of a shutdown.
+// closeTime bounds the time for closing idle connections at the end of a shutdown.
 const closeTime = time.Second
 
 // Server is a running entry instance.
@@ -42,21 +42,23 @@
 	follower   *storer.Follower
 	writer     *storer.Writer
 	callers    *listener.Listener
-	// questions are the listeners that answer questions only.
+	// questions are the listeners that serve only requests to the instance itself.
 	questions []*listener.Listener
 	inner     *listener.Listener
 	operators *listener.Listener
-	left      chan struct{}
-	isLeft    atomic.Bool
+	// exitAllowed is closed, and isExitAllowed set, by the action Leave.
+	exitAllowed   chan struct{}
+	isExitAllowed atomic.Bool
 }
 
-// New starts an entry instance. The settings have been checked.
+// New starts an entry instance. The settings must have been checked. It returns an
+// error if a listener can't be opened.
 func New(settings configurer.Settings, log *logger.Logger) (*Server, error) {
 	s := &Server{
-		settings: settings,
-		log:      log,
-		recorder: recorder.New(),
-		left:     make(chan struct{}),
+		settings:    settings,
+		log:         log,
+		recorder:    recorder.New(),
+		exitAllowed: make(chan struct{}),
 	}
 	now := time.Now()
 	s.self = descriptor.Member{
@@ -75,22 +77,22 @@
 	return s, nil
 }
 
-// listen opens the listeners first: the addresses belong to the record of the
-// instance, and port 0 chooses free ones.
+// listen opens the listeners. It runs before everything else, because the record of the
+// instance contains the addresses, and port 0 means a free port.
 func (s *Server) listen(g *gates) error {
 	limits := s.settings.Limits
 	options := listener.Options{
-		Address:       s.settings.Callers.Listen,
-		HeaderTimeout: limits.HeadTimeout,
-		IdleTimeout:   limits.IdleTimeout,
-		HeaderBytes:   limits.HeadBytes,
-		Plain2:        true,
+		Address:          s.settings.Callers.Listen,
+		HeaderTimeout:    limits.HeadTimeout,
+		IdleTimeout:      limits.IdleTimeout,
+		HeaderBytes:      limits.HeadBytes,
+		UnencryptedHTTP2: true,
 	}
 	var err error
 	if s.callers, err = listener.New(options, g.callers); err != nil {
 		return eris.Wrap(err, "callers")
 	}
-	options.Plain2 = false
+	options.UnencryptedHTTP2 = false
 	for _, address := range s.settings.Callers.Questions {
 		options.Address = address
 		l, err := listener.New(options, g.questions)
@@ -107,22 +109,24 @@
 	if s.operators, err = listener.New(options, g.operators); err != nil {
 		return eris.Wrap(err, "operators")
 	}
-	s.self.Public = advertised(s.settings.Callers.Advertise, s.callers)
-	s.self.Inner = advertised(s.settings.Inner.Advertise, s.inner)
+	s.self.Public = advertisedAddress(s.settings.Callers.Advertise, s.callers)
+	s.self.Inner = advertisedAddress(s.settings.Inner.Advertise, s.inner)
 	return nil
 }
 
-func advertised(address string, l *listener.Listener) string {
+// advertisedAddress returns the configured address, or the address listened on if none
+// is configured.
+func advertisedAddress(address string, l *listener.Listener) string {
 	if address != "" {
 		return address
 	}
 	return l.Address()
 }
 
-// start creates the parts behind the listeners.
+// start creates the components behind the listeners.
 func (s *Server) start(now time.Time) {
-	client, feeds := s.source()
-	control := newLate()
+	client, feeds := s.platformSource()
+	control := newControlProxy()
 	s.linker = linker.New(linker.Options{
 		Self:  func() descriptor.Member { return s.self },
 		Key:   s.settings.Inner.Key,
@@ -150,12 +154,13 @@
 	s.recorder.Gauge("links.dropped", func() int64 { return int64(s.linker.Traffic().Dropped) })
 }
 
-// routed tells that a routing of the platform's operator declares the services.
-func (s *Server) routed() bool { return s.settings.Platform.Source == configurer.SourceRouting }
+// usesRouting reports whether the services are declared by a routing of the platform's
+// operator.
+func (s *Server) usesRouting() bool { return s.settings.Platform.Source == configurer.SourceRouting }
 
-// source returns the client of the platform and what to follow there.
-func (s *Server) source() (*storer.Client, []storer.Feed) {
-	if s.routed() {
+// platformSource returns the client of the platform and the feeds to follow there.
+func (s *Server) platformSource() (*storer.Client, []storer.Feed) {
+	if s.usesRouting() {
 		return storer.NewStoreClient(platform.NewStore(s.settings.Platform.Address)), platform.Feeds()
 	}
 	return storer.NewClient(s.settings.Platform.Address), []storer.Feed{storer.Declarations()}
@@ -165,21 +170,21 @@
 	return storer.Pace{Wait: s.settings.Platform.Wait, Gap: s.settings.Platform.Gap}
 }
 
-// dialect returns how callers and backend servers speak.
+// dialect returns the HTTP dialect of callers and backend servers.
 func (s *Server) dialect(o forwarder.Options) forwarder.Dialect {
-	if s.routed() {
+	if s.usesRouting() {
 		return platform.NewDialect(o.Keep, o.Domain)
 	}
 	return forwarder.NewStandardDialect(o)
 }
 
-// machine returns the decisions with the policies that the settings name.
+// machine returns the state machine with the policies that the settings select.
 func (s *Server) machine(now time.Time) controller.Machine {
 	o := decider.Options{
 		Self:     s.self,
 		Seed:     uint64(now.UnixNano()),
 		Patience: s.settings.Platform.Patience,
-		Routing:  s.routed(),
+		Routing:  s.usesRouting(),
 		Retries:  retrier.Bounds(s.settings.Retries),
 		Grace:    s.settings.Limits.Grace,
 	}
@@ -189,7 +194,7 @@
 	case configurer.PolicyConsecutive:
 		return decider.New[int, detector.Consecutive, picker.LeastLoaded, limiter.Open](o, now)
 	}
-	if s.routed() {
+	if s.usesRouting() {
 		return decider.New[detector.Evidence, detector.Sequential, picker.Trusted, limiter.Bounded](o, now)
 	}
 	return decider.NewStandard(o, now)
@@ -215,22 +220,22 @@
 	case descriptor.Trail:
 		s.log.Trail(time.Now(), a)
 	case descriptor.Leave:
-		if !s.isLeft.Swap(true) {
-			close(s.left)
+		if !s.isExitAllowed.Swap(true) {
+			close(s.exitAllowed)
 		}
 	}
 }
 
-// Public returns the address that callers are told.
+// Public returns the address that is advertised to callers.
 func (s *Server) Public() string { return s.self.Public }
 
-// Inner returns the address that instances are told.
+// Inner returns the address that is advertised to other instances.
 func (s *Server) Inner() string { return s.self.Inner }
 
 // Operators returns the address of the operators' listener.
 func (s *Server) Operators() string { return s.operators.Address() }
 
-// Traffic returns what went over the links so far.
+// Traffic returns the counts of bytes and messages on all links so far.
 func (s *Server) Traffic() linker.Traffic { return s.linker.Traffic() }
 
 // Dump implements operator.Source.
@@ -255,21 +260,21 @@
 	return settings
 }
 
-// Shutdown finishes every request in flight, hands over what others need and
-// ends the instance. It takes as long as the longest request.
+// Shutdown finishes every request in flight, hands over state to other instances and
+// stops the instance. It takes as long as the longest request.
 func (s *Server) Shutdown() {
 	s.controller.Post(descriptor.Quit{At: time.Now()})
-	<-s.left
+	<-s.exitAllowed
 	ctx, cancel := context.WithTimeout(context.Background(), closeTime)
 	defer cancel()
-	// What is still open then are idle connections and requests that were
-	// told where to go.
+	// Only idle connections and requests that were refused with the addresses of
+	// other instances are still open now.
 	_ = s.callers.Shutdown(ctx)
 	s.Close()
 	s.log.Event(descriptor.NoteStopped, "", s.self.ID, "")
 }
 
-// Close ends the instance at once.
+// Close stops the instance immediately.
 func (s *Server) Close() {
 	s.follower.SetActive(false)
 	s.writer.Close()
@@ -286,7 +291,7 @@
 	}
 }
 
-// platformReporter logs the state of the platform.
+// platformReporter logs the reachability of the platform and its bad documents.
 type platformReporter struct{ log *logger.Logger }
 
 // Reachable implements storer.Reporter.
--- a/server/server_test.go
+++ b/server/server_test.go
@@ -15,7 +15,7 @@
 	"monsoonswitch/operator"
 )
 
-// oneInstance starts an instance before backend servers with the given options.
+// oneInstance starts an instance with backend servers of the given options.
 func oneInstance(t testing.TB, backends int, o imitator.BackendOptions) *assembler.Fleet {
 	f, err := assembler.New(assembler.Options{
 		Domains:   []string{"a"},
@@ -59,7 +59,7 @@
 			asserter.Equal(t, path, response.StatusCode, http.StatusOK)
 		}
 	})
-	t.Run("callers reach no operator's path", func(t *testing.T) {
+	t.Run("operators' paths are not served to callers", func(t *testing.T) {
 		response, err := http.Get("http://" + s.Public() + operator.DumpPath)
 		asserter.NoError(t, "ask", err)
 		_ = response.Body.Close()
@@ -74,7 +74,7 @@
 		_, err = imitator.ServeStore(imitator.NewStore(), settings.Callers.Listen)
 		asserter.True(t, "refused", err != nil)
 	})
-	t.Run("the key is in no dump", func(t *testing.T) {
+	t.Run("the settings in a dump omit the key", func(t *testing.T) {
 		kept, ok := s.Settings().(configurer.Settings)
 		asserter.True(t, "settings", ok)
 		asserter.Equal(t, "key", kept.Inner.Key, "")
