--- a/stopper/stopper.go
+++ b/stopper/stopper.go
@@ -8,33 +8,33 @@
 	"syscall"
 )
 
-// Stopper turns the first signal or call into one request to shut down, and
-// tells everyone who waits when the shutdown is done.
+// Stopper turns the first signal or call of Ask into a request to shut down. It is safe
+// for use by many goroutines.
 type Stopper struct {
-	mu       sync.Mutex
-	asked    chan struct{}
-	done     chan struct{}
-	isAsked  bool
-	isDone   bool
-	reason   string
-	received chan os.Signal
+	mu          sync.Mutex
+	requested   chan struct{}
+	done        chan struct{}
+	isRequested bool
+	isDone      bool
+	reason      string
+	signals     chan os.Signal
 }
 
-// New returns a stopper that listens to SIGTERM and SIGINT.
+// New returns a stopper that requests a shutdown on SIGTERM or SIGINT.
 func New() *Stopper {
 	s := &Stopper{
-		asked:    make(chan struct{}),
-		done:     make(chan struct{}),
-		received: make(chan os.Signal, 1),
+		requested: make(chan struct{}),
+		done:      make(chan struct{}),
+		signals:   make(chan os.Signal, 1),
 	}
-	signal.Notify(s.received, syscall.SIGTERM, syscall.SIGINT)
+	signal.Notify(s.signals, syscall.SIGTERM, syscall.SIGINT)
 	go func() {
 		for {
 			select {
-			case v := <-s.received:
+			case v := <-s.signals:
 				s.Ask(v.String())
 			case <-s.done:
-				signal.Stop(s.received)
+				signal.Stop(s.signals)
 				return
 			}
 		}
@@ -46,12 +46,12 @@
 func (s *Stopper) Ask(reason string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.isAsked {
+	if s.isRequested {
 		return
 	}
-	s.isAsked = true
+	s.isRequested = true
 	s.reason = reason
-	close(s.asked)
+	close(s.requested)
 }
 
 // Reason returns why the shutdown was requested.
@@ -61,10 +61,11 @@
 	return s.reason
 }
 
-// Asked is closed when a shutdown is requested.
-func (s *Stopper) Asked() <-chan struct{} { return s.asked }
+// Asked returns a channel that is closed when a shutdown is requested.
+func (s *Stopper) Asked() <-chan struct{} { return s.requested }
 
-// Finish tells that the shutdown is done. Only the first call has an effect.
+// Finish marks the shutdown as done and ends the handling of signals. Only the first
+// call has an effect.
 func (s *Stopper) Finish() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
