--- a/linker/link.go
+++ b/linker/link.go
@@ -19,13 +19,13 @@
 const (
 	// Path is where instances accept links.
 	Path = "/link"
-	// proofHeader carries the proof of membership in both directions.
+	// proofHeader carries the proof of membership in requests and answers.
 	proofHeader = "Link-Proof"
-	// sendQueue is the number of messages that may wait on a link.
-	sendQueue = 1024
-	// writeTimeout bounds the writing of one message.
+	// sendQueueLength is the number of messages that may be queued on a link.
+	sendQueueLength = 1024
+	// writeTimeout bounds the time for writing one message.
 	writeTimeout = 10 * time.Second
-	// silenceTimeout is the silence after which a link is closed.
+	// silenceTimeout is the time without a message after which a link is closed.
 	silenceTimeout = 30 * time.Second
 )
 
@@ -34,36 +34,37 @@
 	owner *Linker
 	conn  *websocket.Conn
 	peer  descriptor.Member
-	// dialed tells that this instance opened the link.
-	dialed bool
-	out    chan descriptor.Message
-	ctx    context.Context
-	cancel context.CancelFunc
-	once   sync.Once
-	// used is when the last message other than a heartbeat was sent, in
-	// nanoseconds since the Unix epoch.
-	used atomic.Int64
+	// dialed reports whether this instance opened the link.
+	dialed   bool
+	outgoing chan descriptor.Message
+	ctx      context.Context
+	cancel   context.CancelFunc
+	once     sync.Once
+	// lastUsedNanos is when the last message other than a heartbeat or digest was
+	// queued, in nanoseconds since the Unix epoch.
+	lastUsedNanos atomic.Int64
 }
 
-func (k *link) usedAt() time.Time { return time.Unix(0, k.used.Load()) }
+func (k *link) lastUsedAt() time.Time { return time.Unix(0, k.lastUsedNanos.Load()) }
 
 func (k *link) close() { k.cancel() }
 
-// send queues a message. A link whose queue is full is closed: its peer does
-// not read, and a new link starts in step again.
+// send queues a message. If the queue is full, the peer does not read, so the message is
+// dropped and the link closed. Both ends synchronize again on the next link.
 func (k *link) send(m descriptor.Message) {
 	if m.Type() != descriptor.TypeHeartbeat && m.Type() != descriptor.TypeDigest {
-		k.used.Store(time.Now().UnixNano())
+		k.lastUsedNanos.Store(time.Now().UnixNano())
 	}
 	select {
-	case k.out <- m:
+	case k.outgoing <- m:
 	default:
 		k.owner.countDropped()
 		k.close()
 	}
 }
 
-// dial opens a link to an address.
+// dial opens a link to an address. It returns messenger.ErrProof if the peer does not
+// prove its membership.
 func (l *Linker) dial(address string) error {
 	ctx, cancel := context.WithTimeout(l.ctx, dialTimeout)
 	defer cancel()
@@ -82,9 +83,10 @@
 		_ = conn.CloseNow()
 		return eris.Wrapf(messenger.ErrProof, "instance at %s", address)
 	}
-	return l.greet(ctx, conn, true)
+	return l.handshake(ctx, conn, true)
 }
 
+// dialError returns the error of a failed dial, or ErrClosed if the linker was closed.
 func (l *Linker) dialError(err error) error {
 	if l.ctx.Err() != nil {
 		return ErrClosed
@@ -112,13 +114,14 @@
 	}
 	ctx, cancel := context.WithTimeout(l.ctx, dialTimeout)
 	defer cancel()
-	if err := l.greet(ctx, conn, false); err != nil {
+	if err := l.handshake(ctx, conn, false); err != nil {
 		l.options.Reject(r.RemoteAddr, err)
 	}
 }
 
-// greet exchanges hellos and starts the goroutines of a link.
-func (l *Linker) greet(ctx context.Context, conn *websocket.Conn, dialed bool) error {
+// handshake exchanges hello messages and starts the goroutines of the link. It returns
+// ErrProtocol if the peer's hello is not valid.
+func (l *Linker) handshake(ctx context.Context, conn *websocket.Conn, dialed bool) error {
 	conn.SetReadLimit(messenger.MaxFrame)
 	hello := descriptor.Hello{Protocol: messenger.Version, From: l.options.Self()}
 	if err := l.write(ctx, conn, hello); err != nil {
@@ -130,40 +133,40 @@
 		_ = conn.CloseNow()
 		return err
 	}
-	theirs, ok := m.(descriptor.Hello)
-	if !ok || theirs.Protocol != messenger.Version || theirs.From.ID == "" || theirs.From.ID == hello.From.ID {
+	peerHello, ok := m.(descriptor.Hello)
+	if !ok || peerHello.Protocol != messenger.Version || peerHello.From.ID == "" || peerHello.From.ID == hello.From.ID {
 		_ = conn.Close(websocket.StatusProtocolError, "bad hello")
-		return eris.Wrapf(ErrProtocol, "hello of %q with version %d", theirs.From.ID, theirs.Protocol)
+		return eris.Wrapf(ErrProtocol, "hello of %q with version %d", peerHello.From.ID, peerHello.Protocol)
 	}
-	l.start(conn, theirs.From, dialed)
+	l.start(conn, peerHello.From, dialed)
 	return nil
 }
 
 func (l *Linker) start(conn *websocket.Conn, peer descriptor.Member, dialed bool) {
 	ctx, cancel := context.WithCancel(l.ctx)
 	k := &link{
-		owner:  l,
-		conn:   conn,
-		peer:   peer,
-		dialed: dialed,
-		out:    make(chan descriptor.Message, sendQueue),
-		ctx:    ctx,
-		cancel: cancel,
-	}
-	k.used.Store(time.Now().UnixNano())
+		owner:    l,
+		conn:     conn,
+		peer:     peer,
+		dialed:   dialed,
+		outgoing: make(chan descriptor.Message, sendQueueLength),
+		ctx:      ctx,
+		cancel:   cancel,
+	}
+	k.lastUsedNanos.Store(time.Now().UnixNano())
 	l.add(k)
 	go func() {
-		defer k.end()
-		k.writeAll()
+		defer k.release()
+		k.writeLoop()
 	}()
 	go func() {
-		defer k.end()
-		k.readAll()
+		defer k.release()
+		k.readLoop()
 	}()
 }
 
-// end closes the connection once.
-func (k *link) end() {
+// release closes the connection and removes the link. Only the first call has an effect.
+func (k *link) release() {
 	k.once.Do(func() {
 		k.cancel()
 		_ = k.conn.CloseNow()
@@ -171,10 +174,10 @@
 	})
 }
 
-func (k *link) writeAll() {
+func (k *link) writeLoop() {
 	for {
 		select {
-		case m := <-k.out:
+		case m := <-k.outgoing:
 			ctx, cancel := context.WithTimeout(k.ctx, writeTimeout)
 			err := k.owner.write(ctx, k.conn, m)
 			cancel()
@@ -187,7 +190,7 @@
 	}
 }
 
-func (k *link) readAll() {
+func (k *link) readLoop() {
 	for {
 		ctx, cancel := context.WithTimeout(k.ctx, silenceTimeout)
 		m, err := k.owner.read(ctx, k.conn)
@@ -196,7 +199,7 @@
 			continue
 		}
 		if err != nil {
-			if errors.Is(err, messenger.ErrGarbage) {
+			if errors.Is(err, messenger.ErrMalformed) {
 				k.owner.options.Reject(k.peer.ID, err)
 			}
 			return
@@ -223,7 +226,7 @@
 		return nil, eris.Wrap(err, "read from link")
 	}
 	if kind != websocket.MessageBinary {
-		return nil, eris.Wrap(messenger.ErrGarbage, "text message")
+		return nil, eris.Wrap(messenger.ErrMalformed, "text message instead of binary")
 	}
 	l.countReceived(len(data))
 	return messenger.Decode(data)
--- a/linker/linker.go
+++ b/linker/linker.go
@@ -1,5 +1,5 @@
-// Package linker holds the links between instances: WebSocket connections over
-// which the messages of the inner protocol go.
+// Package linker maintains the links between instances: WebSocket connections that carry
+// the messages of the inner protocol.
 package linker
 
 import (
@@ -16,48 +16,49 @@
 
 // Errors of links.
 var (
-	// ErrProtocol reports a peer that does not keep to the inner protocol.
-	ErrProtocol = eris.New("peer broke the inner protocol")
+	// ErrProtocol reports a peer that violates the inner protocol.
+	ErrProtocol = eris.New("peer violated the inner protocol")
 	// ErrClosed reports that the linker was closed.
 	ErrClosed = eris.New("linker closed")
 )
 
-// Times of links.
+// Intervals and timeouts of links.
 const (
-	// dialEvery is the time between looks for links to open.
-	dialEvery = 250 * time.Millisecond
-	// dialWait is the wait before an instance is dialed again.
-	dialWait = time.Second
-	// dialMemory is how long the time of a dial is remembered.
-	dialMemory = time.Minute
-	// dialTimeout bounds the opening of a link.
+	// maintainInterval is the time between checks for links to open or close.
+	maintainInterval = 250 * time.Millisecond
+	// redialDelay is the least time between two dials of an address.
+	redialDelay = time.Second
+	// dialRecordTime is how long the time of a dial is kept.
+	dialRecordTime = time.Minute
+	// dialTimeout bounds the time for opening a link.
 	dialTimeout = 2 * time.Second
-	// seedEvery is the mean time between calls at a seed, which join the parts
-	// of a fleet that lost each other.
-	seedEvery = 15 * time.Second
-	// idleTime is how long an unused link that nobody wants is kept.
-	idleTime = 30 * time.Second
+	// seedInterval sets the time between dials of a seed while there are links: a random
+	// time of a half to one and a half of it. These dials reconnect the parts of a fleet
+	// after a network partition.
+	seedInterval = 15 * time.Second
+	// maxIdleTime is how long an unused link is kept that is not wanted.
+	maxIdleTime = 30 * time.Second
 )
 
-// Poster takes events in.
+// Poster accepts events.
 type Poster interface {
-	// Post passes an event on.
+	// Post posts an event.
 	Post(descriptor.Event)
 }
 
-// Options are the constant parts of a linker.
+// Options configure a linker.
 type Options struct {
-	// Self returns the present record of this instance.
+	// Self returns the current record of this instance.
 	Self func() descriptor.Member
-	// Key proves that instances belong together.
+	// Key is the shared secret by which instances prove their membership.
 	Key string
-	// Seeds are the inner addresses to try first.
+	// Seeds are the inner addresses of instances to join the fleet through.
 	Seeds []string
-	// Reject is called with the reason for each link that was refused.
+	// Reject is called with the cause for each link that was refused or failed to open.
 	Reject func(peer string, err error)
 }
 
-// Linker holds the links of one instance.
+// Linker maintains the links of one instance. It is safe for use by many goroutines.
 type Linker struct {
 	options Options
 	poster  Poster
@@ -65,30 +66,32 @@
 	cancel  context.CancelFunc
 	client  *http.Client
 
-	// telling is held while links change and the control goroutine is told, so that
-	// it hears of changes in their order. mu is taken after it.
-	telling sync.Mutex
-	mu      sync.Mutex
+	// notifyMu is held while links change and the change is posted, so that changes are
+	// posted in their order. It is locked before mu.
+	notifyMu sync.Mutex
+	mu       sync.Mutex
 	// links holds the open links by the ID of the peer, newest last.
 	links map[string][]*link
-	// wanted holds the instances to keep links to.
+	// wanted holds the instances to keep links to, by ID.
 	wanted map[string]descriptor.Member
-	// dialed holds when each address was dialed last.
+	// dialed holds when each address was last dialed.
 	dialed map[string]time.Time
-	// waiting holds the messages for instances being dialed.
-	waiting map[string][]descriptor.Message
-	seeded  time.Time
-	traffic Traffic
+	// queued holds the messages for instances that are being dialed, by ID.
+	queued map[string][]descriptor.Message
+	// lastSeedDial is when a seed was last chosen.
+	lastSeedDial time.Time
+	traffic      Traffic
 }
 
-// Traffic counts what went over all links.
+// Traffic counts the bytes and messages of all links.
 type Traffic struct {
 	SentBytes, SentMessages         uint64
 	ReceivedBytes, ReceivedMessages uint64
-	Dropped                         uint64
+	// Dropped is the number of messages that were not sent.
+	Dropped uint64
 }
 
-// New returns a linker that dials in the background.
+// New returns a linker that opens and closes links in the background.
 func New(o Options, p Poster) *Linker {
 	ctx, cancel := context.WithCancel(context.Background())
 	l := &Linker{
@@ -100,10 +103,10 @@
 		links:   make(map[string][]*link),
 		wanted:  make(map[string]descriptor.Member),
 		dialed:  make(map[string]time.Time),
-		waiting: make(map[string][]descriptor.Message),
+		queued:  make(map[string][]descriptor.Message),
 	}
 	go func() {
-		ticker := time.NewTicker(dialEvery)
+		ticker := time.NewTicker(maintainInterval)
 		defer ticker.Stop()
 		for {
 			select {
@@ -117,7 +120,7 @@
 	return l
 }
 
-// Close ends all links.
+// Close closes all links and stops dialing.
 func (l *Linker) Close() {
 	l.cancel()
 	l.mu.Lock()
@@ -129,7 +132,7 @@
 	}
 }
 
-// Traffic returns what went over all links so far.
+// Traffic returns the counts of all links so far.
 func (l *Linker) Traffic() Traffic {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -146,11 +149,11 @@
 	}
 }
 
-// maxWaiting bounds the messages that wait for one link.
-const maxWaiting = 256
+// maxQueued bounds the messages that are queued while a link is opened.
+const maxQueued = 256
 
-// Send passes a message to an instance, and opens a link if there is none. It
-// never blocks; messages over the bound are dropped.
+// Send sends a message to an instance and opens a link if there is none. It never
+// blocks; messages beyond the limits of the queues are dropped.
 func (l *Linker) Send(to descriptor.Member, m descriptor.Message) {
 	l.mu.Lock()
 	list := l.links[to.ID]
@@ -160,10 +163,10 @@
 		k.send(m)
 		return
 	}
-	pending := l.waiting[to.ID]
+	pending := l.queued[to.ID]
 	first := len(pending) == 0
-	if len(pending) < maxWaiting {
-		l.waiting[to.ID] = append(pending, m)
+	if len(pending) < maxQueued {
+		l.queued[to.ID] = append(pending, m)
 	} else {
 		l.traffic.Dropped++
 	}
@@ -173,20 +176,20 @@
 	}
 }
 
-// dialFor opens a link for waiting messages and drops them if it can't.
+// dialFor opens a link for queued messages and drops them if this fails.
 func (l *Linker) dialFor(to descriptor.Member) {
 	err := l.dial(to.Inner)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if err != nil {
-		l.traffic.Dropped += uint64(len(l.waiting[to.ID]))
+		l.traffic.Dropped += uint64(len(l.queued[to.ID]))
 	}
-	delete(l.waiting, to.ID)
+	delete(l.queued, to.ID)
 }
 
-// maintain opens the links that are wanted and closes those nobody uses.
+// maintain opens wanted links and closes idle ones.
 func (l *Linker) maintain(now time.Time) {
-	for _, address := range l.due(now) {
+	for _, address := range l.addressesToDial(now) {
 		go func() {
 			if err := l.dial(address); err != nil && !eris.Is(err, ErrClosed) {
 				l.options.Reject(address, err)
@@ -196,21 +199,21 @@
 	l.closeIdle(now)
 }
 
-// due returns the addresses to dial now.
-func (l *Linker) due(now time.Time) []string {
+// addressesToDial returns the addresses to dial now and records the dials.
+func (l *Linker) addressesToDial(now time.Time) []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var result []string
 	for id, m := range l.wanted {
-		if len(l.links[id]) == 0 && now.Sub(l.dialed[m.Inner]) >= dialWait {
+		if len(l.links[id]) == 0 && now.Sub(l.dialed[m.Inner]) >= redialDelay {
 			result = append(result, m.Inner)
 		}
 	}
-	if seed, ok := l.dueSeed(now); ok {
+	if seed, ok := l.seedToDial(now); ok {
 		result = append(result, seed)
 	}
 	for address, at := range l.dialed {
-		if now.Sub(at) > dialMemory {
+		if now.Sub(at) > dialRecordTime {
 			delete(l.dialed, address)
 		}
 	}
@@ -220,21 +223,22 @@
 	return result
 }
 
-// dueSeed returns a seed to dial: often while there is no link at all, and now
-// and then otherwise.
-func (l *Linker) dueSeed(now time.Time) (string, bool) {
-	wait := seedEvery/2 + rand.N(seedEvery)
+// seedToDial returns a random seed and whether to dial it now. The time between dials is
+// half of redialDelay while there is no link at all, and follows seedInterval otherwise.
+func (l *Linker) seedToDial(now time.Time) (string, bool) {
+	wait := seedInterval/2 + rand.N(seedInterval)
 	if len(l.links) == 0 {
-		wait = dialWait / 2
+		wait = redialDelay / 2
 	}
-	if len(l.options.Seeds) == 0 || now.Sub(l.seeded) < wait {
+	if len(l.options.Seeds) == 0 || now.Sub(l.lastSeedDial) < wait {
 		return "", false
 	}
-	l.seeded = now
+	l.lastSeedDial = now
 	seed := l.options.Seeds[rand.IntN(len(l.options.Seeds))]
 	return seed, seed != l.options.Self().Inner && !l.linkedTo(seed)
 }
 
+// linkedTo reports whether there is a link to an inner address.
 func (l *Linker) linkedTo(address string) bool {
 	for _, list := range l.links {
 		for _, k := range list {
@@ -246,8 +250,8 @@
 	return false
 }
 
-// closeIdle closes the links this instance dialed and does not want, if they
-// carried nothing but heartbeats for a while.
+// closeIdle closes the links that this instance dialed, does not want, and used only for
+// heartbeats and digests for maxIdleTime.
 func (l *Linker) closeIdle(now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -256,35 +260,37 @@
 			continue
 		}
 		for _, k := range list {
-			if k.dialed && now.Sub(k.usedAt()) > idleTime {
+			if k.dialed && now.Sub(k.lastUsedAt()) > maxIdleTime {
 				k.close()
 			}
 		}
 	}
 }
 
-// add registers a link and tells the control goroutine of the first one.
+// add registers a link and sends the messages queued for it. It posts LinkOpened if the
+// link is the first one to its peer.
 func (l *Linker) add(k *link) {
-	l.telling.Lock()
+	l.notifyMu.Lock()
 	l.mu.Lock()
 	list := l.links[k.peer.ID]
 	l.links[k.peer.ID] = append(list, k)
-	pending := l.waiting[k.peer.ID]
-	l.waiting[k.peer.ID] = nil
+	pending := l.queued[k.peer.ID]
+	l.queued[k.peer.ID] = nil
 	l.mu.Unlock()
 	if len(list) == 0 {
 		l.poster.Post(descriptor.LinkOpened{At: time.Now(), Peer: k.peer})
 	}
-	l.telling.Unlock()
+	l.notifyMu.Unlock()
 	for _, m := range pending {
 		k.send(m)
 	}
 }
 
-// remove takes a link out and tells the control goroutine of the last one.
+// remove unregisters a link. It posts LinkClosed if the link was the last one to its
+// peer.
 func (l *Linker) remove(k *link) {
-	l.telling.Lock()
-	defer l.telling.Unlock()
+	l.notifyMu.Lock()
+	defer l.notifyMu.Unlock()
 	l.mu.Lock()
 	var kept []*link
 	for _, other := range l.links[k.peer.ID] {
--- a/linker/linker_test.go
+++ b/linker/linker_test.go
@@ -17,8 +17,8 @@
 
 const testKey = "the key of the tests"
 
-// end is one linker with its listener and what it posted.
-type end struct {
+// testLinker is a linker with its address, posted events and rejections.
+type testLinker struct {
 	linker  *Linker
 	address string
 	events  chan descriptor.Event
@@ -26,10 +26,10 @@
 }
 
 // Post implements Poster.
-func (e *end) Post(event descriptor.Event) { e.events <- event }
+func (e *testLinker) Post(event descriptor.Event) { e.events <- event }
 
-func newEnd(t *testing.T, id, key string, seeds ...string) *end {
-	e := &end{events: make(chan descriptor.Event, 100), rejects: make(chan error, 100)}
+func newTestLinker(t *testing.T, id, key string, seeds ...string) *testLinker {
+	e := &testLinker{events: make(chan descriptor.Event, 100), rejects: make(chan error, 100)}
 	mux := http.NewServeMux()
 	server := httptest.NewServer(mux)
 	e.address = strings.TrimPrefix(server.URL, "http://")
@@ -48,8 +48,8 @@
 	return e
 }
 
-// next returns the next posted event of a type.
-func next[T descriptor.Event](t *testing.T, e *end) T {
+// next returns the next posted event of type T.
+func next[T descriptor.Event](t *testing.T, e *testLinker) T {
 	t.Helper()
 	for {
 		select {
@@ -64,8 +64,8 @@
 }
 
 func TestLinks(t *testing.T) {
-	a := newEnd(t, "a", testKey)
-	b := newEnd(t, "b", testKey, a.address)
+	a := newTestLinker(t, "a", testKey)
+	b := newTestLinker(t, "b", testKey, a.address)
 	asserter.Equal(t, "opened at a", next[descriptor.LinkOpened](t, a).Peer.ID, "b")
 	peer := next[descriptor.LinkOpened](t, b).Peer
 	asserter.Equal(t, "opened at b", peer.ID, "a")
@@ -73,12 +73,12 @@
 	got := next[descriptor.Received](t, a)
 	asserter.Equal(t, "from", got.From, "b")
 	asserter.Equal(t, "message", got.Message, descriptor.Message(descriptor.Heartbeat{Sequence: 7}))
-	t.Run("a message opens a link where there is none", func(t *testing.T) {
-		c := newEnd(t, "c", testKey)
+	t.Run("a message to an instance without a link opens one", func(t *testing.T) {
+		c := newTestLinker(t, "c", testKey)
 		c.linker.Send(descriptor.Member{ID: "a", Inner: a.address}, descriptor.Heartbeat{Sequence: 9})
 		asserter.Equal(t, "from", next[descriptor.Received](t, a).From, "c")
 	})
-	t.Run("the end of a link is known", func(t *testing.T) {
+	t.Run("the end of a link is posted", func(t *testing.T) {
 		b.linker.Close()
 		for next[descriptor.LinkClosed](t, a).Peer != "b" {
 			continue
@@ -86,17 +86,17 @@
 	})
 }
 
-func TestStrangers(t *testing.T) {
-	a := newEnd(t, "a", testKey)
+func TestUnauthorizedPeers(t *testing.T) {
+	a := newTestLinker(t, "a", testKey)
 	t.Run("another key is refused", func(t *testing.T) {
-		newEnd(t, "b", "a key of another fleet", a.address)
+		newTestLinker(t, "b", "a key of another fleet", a.address)
 		asserter.ErrorIs(t, "reason", <-a.rejects, messenger.ErrProof)
 	})
 	t.Run("no proof is refused", func(t *testing.T) {
 		_, _, err := websocket.Dial(context.Background(), "ws://"+a.address+Path, nil)
 		asserter.True(t, "refused", err != nil)
 	})
-	t.Run("garbage ends the link", func(t *testing.T) {
+	t.Run("a malformed frame ends the link", func(t *testing.T) {
 		proof := messenger.Prove(testKey, messenger.Dialer, "n", time.Now())
 		conn, _, err := websocket.Dial(context.Background(), "ws://"+a.address+Path, &websocket.DialOptions{
 			HTTPHeader: http.Header{proofHeader: {proof}},
--- a/linker/order_test.go
+++ b/linker/order_test.go
@@ -9,8 +9,8 @@
 	"monsoonswitch/descriptor"
 )
 
-// slow is a poster that takes its time over the end of a link.
-type slow struct {
+// slowPoster is a Poster that takes up to 100 ms to post the end of a link.
+type slowPoster struct {
 	mu      sync.Mutex
 	order   []string
 	closing chan struct{}
@@ -18,7 +18,7 @@
 }
 
 // Post implements Poster.
-func (s *slow) Post(event descriptor.Event) {
+func (s *slowPoster) Post(event descriptor.Event) {
 	name := "opened"
 	if _, ok := event.(descriptor.LinkClosed); ok {
 		name = "closed"
@@ -36,11 +36,11 @@
 	}
 }
 
-// TestOrderOfLinks opens a link while the end of an older one is being told: the
-// begin must be told after it, or the new link would be forgotten.
+// TestOrderOfLinks opens a link while the end of an older one is being posted. LinkOpened
+// must be posted after LinkClosed, or the receiver would consider the peer unlinked.
 func TestOrderOfLinks(t *testing.T) {
-	s := &slow{closing: make(chan struct{}), opened: make(chan struct{})}
-	l := &Linker{poster: s, links: make(map[string][]*link), waiting: make(map[string][]descriptor.Message)}
+	s := &slowPoster{closing: make(chan struct{}), opened: make(chan struct{})}
+	l := &Linker{poster: s, links: make(map[string][]*link), queued: make(map[string][]descriptor.Message)}
 	older := &link{owner: l, peer: descriptor.Member{ID: "peer"}}
 	newer := &link{owner: l, peer: descriptor.Member{ID: "peer"}}
 	l.links["peer"] = []*link{older}
--- a/messenger/keys_test.go
+++ b/messenger/keys_test.go
@@ -7,13 +7,13 @@
 	"monsoonswitch/asserter"
 )
 
-// TestKeys guards the names of the fields on a link: the other end drops a field
-// that it does not know, and reads zero.
+// TestKeys compares the encoded field names of all messages with a golden file. A peer
+// silently drops a field under an unknown name and reads zero under the old one.
 func TestKeys(t *testing.T) {
 	documents := make(map[string]any)
 	for _, m := range samples() {
 		documents[fmt.Sprintf("message-%02d", m.Type())] = m
 	}
 	asserter.Equal(t, "documents", len(documents), len(decoders))
-	asserter.Keys(t, "testdata/keys.golden", documents, encoding.Marshal, decoding.Unmarshal)
+	asserter.Keys(t, "testdata/keys.golden", documents, encMode.Marshal, decMode.Unmarshal)
 }
--- a/messenger/messenger.go
+++ b/messenger/messenger.go
@@ -1,5 +1,5 @@
-// Package messenger is the inner protocol: it encodes the messages between
-// instances as CBOR frames and proves that both ends of a link belong together.
+// Package messenger implements the inner protocol: it encodes the messages between
+// instances as CBOR frames and proves that both ends of a link belong to one fleet.
 package messenger
 
 import (
@@ -16,7 +16,8 @@
 // MaxFrame bounds a frame in bytes.
 const MaxFrame = 4 << 20
 
-// Limits of the structure of a frame.
+// Limits of the structure of a frame: elements of an array, pairs of a map and levels
+// of nesting.
 const (
 	maxElements = 1 << 17
 	maxPairs    = 1 << 12
@@ -25,15 +26,16 @@
 
 // Errors of frames.
 var (
-	// ErrTooLarge reports a frame over MaxFrame.
+	// ErrTooLarge reports a frame larger than MaxFrame.
 	ErrTooLarge = eris.New("frame too large")
-	// ErrGarbage reports bytes that are no frame.
-	ErrGarbage = eris.New("not a frame")
-	// ErrUnknownType reports a message of a later version; it can be skipped.
+	// ErrMalformed reports bytes that are not a valid frame.
+	ErrMalformed = eris.New("malformed frame")
+	// ErrUnknownType reports a message type of a later version; the message can be
+	// skipped.
 	ErrUnknownType = eris.New("unknown message type")
 )
 
-// frame is one message on a link.
+// frame is one message on a link, encoded as an array of type and body.
 type frame struct {
 	_    struct{} `cbor:",toarray"`
 	Type descriptor.MessageType
@@ -41,11 +43,11 @@
 }
 
 var (
-	encoding = mustEncoding()
-	decoding = mustDecoding()
+	encMode = mustEncMode()
+	decMode = mustDecMode()
 )
 
-func mustEncoding() cbor.EncMode {
+func mustEncMode() cbor.EncMode {
 	mode, err := cbor.EncOptions{Time: cbor.TimeRFC3339Nano}.EncMode()
 	if err != nil {
 		panic(err)
@@ -53,7 +55,7 @@
 	return mode
 }
 
-func mustDecoding() cbor.DecMode {
+func mustDecMode() cbor.DecMode {
 	mode, err := cbor.DecOptions{
 		MaxArrayElements: maxElements,
 		MaxMapPairs:      maxPairs,
@@ -65,13 +67,14 @@
 	return mode
 }
 
-// Encode returns the frame of a message.
+// Encode returns the frame of a message. It returns ErrTooLarge if the frame is larger
+// than MaxFrame.
 func Encode(m descriptor.Message) ([]byte, error) {
-	body, err := encoding.Marshal(m)
+	body, err := encMode.Marshal(m)
 	if err != nil {
 		return nil, eris.Wrap(err, "encode message")
 	}
-	data, err := encoding.Marshal(frame{Type: m.Type(), Body: body})
+	data, err := encMode.Marshal(frame{Type: m.Type(), Body: body})
 	if err != nil {
 		return nil, eris.Wrap(err, "encode frame")
 	}
@@ -81,14 +84,15 @@
 	return data, nil
 }
 
-// Decode returns the message of a frame.
+// Decode returns the message of a frame. It returns ErrTooLarge, ErrMalformed or
+// ErrUnknownType if the frame can't be decoded.
 func Decode(data []byte) (descriptor.Message, error) {
 	if len(data) > MaxFrame {
 		return nil, eris.Wrapf(ErrTooLarge, "%d bytes", len(data))
 	}
 	var f frame
-	if err := decoding.Unmarshal(data, &f); err != nil {
-		return nil, eris.Wrapf(ErrGarbage, "frame: %v", err)
+	if err := decMode.Unmarshal(data, &f); err != nil {
+		return nil, eris.Wrapf(ErrMalformed, "frame: %v", err)
 	}
 	decode, ok := decoders[f.Type]
 	if !ok {
@@ -97,7 +101,7 @@
 	return decode(f.Body)
 }
 
-// decoders holds the decoder of each message type.
+// decoders holds the decoding function of each message type.
 var decoders = map[descriptor.MessageType]func(cbor.RawMessage) (descriptor.Message, error){
 	descriptor.TypeHello:      decode[descriptor.Hello],
 	descriptor.TypeHeartbeat:  decode[descriptor.Heartbeat],
@@ -124,8 +128,8 @@
 
 func decode[T descriptor.Message](body cbor.RawMessage) (descriptor.Message, error) {
 	var m T
-	if err := decoding.Unmarshal(body, &m); err != nil {
-		return nil, eris.Wrapf(ErrGarbage, "message type %d: %v", m.Type(), err)
+	if err := decMode.Unmarshal(body, &m); err != nil {
+		return nil, eris.Wrapf(ErrMalformed, "message type %d: %v", m.Type(), err)
 	}
 	return m, nil
 }
--- a/messenger/messenger_test.go
+++ b/messenger/messenger_test.go
@@ -10,7 +10,7 @@
 	"monsoonswitch/descriptor"
 )
 
-// samples holds one message of each type.
+// samples returns one message of each type.
 func samples() []descriptor.Message {
 	at := time.Date(2026, 1, 2, 3, 4, 5, 6, time.UTC)
 	member := descriptor.Member{ID: "a", Incarnation: 3, Version: 4, Public: "p", Inner: "i", Domain: "d", State: descriptor.Suspect, Accusers: []string{"b"}, Ready: true, Heir: "h"}
@@ -57,18 +57,18 @@
 }
 
 func TestBadFrames(t *testing.T) {
-	unknown, err := encoding.Marshal(frame{Type: 999, Body: []byte{0xa0}})
+	unknown, err := encMode.Marshal(frame{Type: 999, Body: []byte{0xa0}})
 	asserter.NoError(t, "encode", err)
-	wrong, err := encoding.Marshal(frame{Type: descriptor.TypeClaim, Body: []byte{0x01}})
+	wrong, err := encMode.Marshal(frame{Type: descriptor.TypeClaim, Body: []byte{0x01}})
 	asserter.NoError(t, "encode", err)
 	for _, c := range []struct {
 		name string
 		data []byte
 		want error
 	}{
-		{"empty", nil, ErrGarbage},
-		{"garbage", []byte("hello"), ErrGarbage},
-		{"wrong body", wrong, ErrGarbage},
+		{"empty", nil, ErrMalformed},
+		{"malformed", []byte("hello"), ErrMalformed},
+		{"wrong body", wrong, ErrMalformed},
 		{"unknown type", unknown, ErrUnknownType},
 		{"too large", make([]byte, MaxFrame+1), ErrTooLarge},
 	} {
