--- a/server/server.go
+++ b/server/server.go
@@ -295,7 +295,7 @@
 type platformReporter struct{ log *logger.Logger }
 
 // Reachable implements storer.Reporter.
-func (p platformReporter) Reachable(source string, ok bool, err error) {
+func (p platformReporter) ReachabilityChanged(source string, ok bool, err error) {
 	if ok {
 		p.log.Event(descriptor.NoteStoreBack, "", source, "")
 		return
--- a/storer/client.go
+++ b/storer/client.go
@@ -1,6 +1,6 @@
-// Package storer speaks to the platform: its key-value service with
-// compare-and-swap, leases and watches, and its list of live and leaving
-// backend servers. docs/PLATFORM.md gives the protocol.
+// Package storer is the client of the platform: its key-value service with
+// compare-and-swap, leases and watches, and its list of live and leaving backend
+// servers. The protocol is documented in docs/PLATFORM.md.
 package storer
 
 import (
@@ -23,44 +23,45 @@
 
 // Errors of calls to the platform.
 var (
-	// ErrUnavailable means that the call had no effect.
+	// ErrUnavailable reports that the call failed and had no effect.
 	ErrUnavailable = eris.New("platform unavailable")
-	// ErrUnknown means that a write may or may not have taken effect.
+	// ErrUnknown reports that a write may or may not have taken effect.
 	ErrUnknown = eris.New("outcome of write unknown")
-	// ErrConflict means that the value has another revision than expected.
+	// ErrConflict reports that the value has another revision than expected.
 	ErrConflict = eris.New("revision conflict")
-	// ErrNotFound means that there is no value.
+	// ErrNotFound reports that the key does not exist.
 	ErrNotFound = eris.New("no such key")
-	// ErrTooLarge means that a value is over MaxValue.
+	// ErrTooLarge reports a value larger than MaxValue.
 	ErrTooLarge = eris.New("value too large")
-	// ErrCompacted means that the history asked for is gone.
+	// ErrCompacted reports that the requested history is no longer stored.
 	ErrCompacted = eris.New("history compacted")
-	// ErrGarbage means that the platform's answer can't be read.
-	ErrGarbage = eris.New("unreadable answer of platform")
+	// ErrGarbage reports a malformed answer of the platform or a malformed value.
+	ErrGarbage = eris.New("malformed answer of platform")
 )
 
 const (
 	// MaxValue bounds a value in bytes.
 	MaxValue = 1 << 20
-	// maxAnswer bounds an answer with many values in bytes.
-	maxAnswer = 256 << 20
-	// callTimeout bounds a call that does not wait.
+	// maxAnswerBytes bounds an answer with many values.
+	maxAnswerBytes = 256 << 20
+	// callTimeout bounds a call, in addition to the time for which a watch waits.
 	callTimeout = 5 * time.Second
-	// clientName is the name under which go-zero knows the client.
+	// clientName is the name of the client in go-zero.
 	clientName = "monsoonswitch-platform"
 )
 
 // Item is one value in the store.
 type Item struct {
-	// Key is the whole key.
+	// Key is the complete key, with its prefix.
 	Key string `json:"key"`
-	// Revision grows with every write to the store.
+	// Revision is the revision of the store at which the value was written. It grows
+	// with every write to the store.
 	Revision uint64 `json:"revision"`
 	// At is when the store accepted the revision.
 	At time.Time `json:"at"`
-	// Value is the value as JSON.
+	// Value is the value, encoded as JSON.
 	Value json.RawMessage `json:"value"`
-	// Deleted tells that the key is gone as of Revision.
+	// Deleted reports whether the key was deleted at Revision.
 	Deleted bool `json:"deleted,omitempty"`
 }
 
@@ -73,7 +74,7 @@
 
 // Listing is the platform's list of backend servers.
 type Listing struct {
-	// Version grows with each change of the list.
+	// Version grows with every change of the list.
 	Version  uint64           `json:"version"`
 	Services []ServiceListing `json:"services"`
 }
@@ -92,63 +93,64 @@
 	Get(ctx context.Context, key string) (Item, error)
 	// List returns all values whose keys begin with prefix.
 	List(ctx context.Context, prefix string) (Page, error)
-	// Watch returns the changes under prefix that are newer than after. It waits
-	// for one at most for wait, and returns none then. ErrCompacted means that
-	// not all of them are known any more.
+	// Watch returns the changes under prefix that are newer than after. It waits up to
+	// wait for a change, and returns an empty page if there is none. It returns
+	// ErrCompacted if some of the changes are no longer stored.
 	Watch(ctx context.Context, prefix string, after uint64, wait time.Duration) (Page, error)
-	// Put writes a value if the key has the expected revision; 0 means that there
-	// is no value. A lease over 0 removes the value after that time. On
-	// ErrConflict the item found is returned.
+	// Put writes a value if the key has the expected revision; 0 means that the key must
+	// not exist. If lease is positive, the value is removed after that time. With
+	// ErrConflict, Put returns the current item.
 	Put(ctx context.Context, key string, value []byte, expect uint64, lease time.Duration) (Item, error)
 }
 
 // Client calls the platform's store. It is safe for use by many goroutines.
 type Client struct {
 	Store
-	// lists is where the list of backend servers is, or nil if it lies in Store.
-	lists *remote
+	// listSource serves the list of backend servers. It is nil if the list is kept in
+	// Store.
+	listSource *httpStore
 }
 
 // NewClient returns a client of the platform at address, which is host:port.
 func NewClient(address string) *Client {
-	r := newRemote(address)
-	return &Client{Store: r, lists: r}
+	r := newHTTPStore(address)
+	return &Client{Store: r, listSource: r}
 }
 
-// NewStoreClient returns a client of a store.
+// NewStoreClient returns a client of a store that also holds the list of backend servers.
 func NewStoreClient(s Store) *Client { return &Client{Store: s} }
 
-// remote is a platform that speaks the protocol of docs/PLATFORM.md.
-type remote struct {
+// httpStore is a platform with the protocol of docs/PLATFORM.md.
+type httpStore struct {
 	base    string
 	service httpc.Service
 }
 
-func newRemote(address string) *remote {
+func newHTTPStore(address string) *httpStore {
 	listener.Configure()
 	breaker.NoBreakerFor(clientName)
 	transport := &http.Transport{MaxIdleConnsPerHost: 8, IdleConnTimeout: time.Minute}
 	client := &http.Client{Transport: transport}
-	return &remote{base: "http://" + address, service: httpc.NewServiceWithClient(clientName, client)}
+	return &httpStore{base: "http://" + address, service: httpc.NewServiceWithClient(clientName, client)}
 }
 
 // Get returns the value of a key.
-func (c *remote) Get(ctx context.Context, key string) (Item, error) {
+func (c *httpStore) Get(ctx context.Context, key string) (Item, error) {
 	var item Item
 	err := c.read(ctx, "/kv/"+key, nil, callTimeout, &item)
 	return item, err
 }
 
 // List returns all values whose keys begin with prefix.
-func (c *remote) List(ctx context.Context, prefix string) (Page, error) {
+func (c *httpStore) List(ctx context.Context, prefix string) (Page, error) {
 	var page Page
 	err := c.read(ctx, "/kv", url.Values{"prefix": {prefix}}, callTimeout, &page)
 	return page, err
 }
 
-// Watch returns the values under prefix that are newer than after. It waits for
-// one at most for wait, and returns none then.
-func (c *remote) Watch(ctx context.Context, prefix string, after uint64, wait time.Duration) (Page, error) {
+// Watch returns the values under prefix that are newer than after. It waits up to wait
+// for a change, and returns an empty page if there is none.
+func (c *httpStore) Watch(ctx context.Context, prefix string, after uint64, wait time.Duration) (Page, error) {
 	var page Page
 	query := url.Values{
 		"prefix": {prefix},
@@ -159,20 +161,21 @@
 	return page, err
 }
 
-// Instances returns the list of backend servers once it is newer than after, or
-// what there is after wait.
-func (c *remote) Instances(ctx context.Context, after uint64, wait time.Duration) (Listing, error) {
+// Instances returns the list of backend servers as soon as its version is newer than
+// after, or the current list after wait.
+func (c *httpStore) Instances(ctx context.Context, after uint64, wait time.Duration) (Listing, error) {
 	var listing Listing
 	query := url.Values{"after": {strconv.FormatUint(after, 10)}, "wait": {wait.String()}}
 	err := c.read(ctx, "/instances", query, wait+callTimeout, &listing)
 	return listing, err
 }
 
-func (c *remote) read(ctx context.Context, path string, query url.Values, timeout time.Duration, result any) error {
+func (c *httpStore) read(ctx context.Context, path string, query url.Values, timeout time.Duration, result any) error {
 	return Read(ctx, c.service, c.base+path+"?"+query.Encode(), timeout, result)
 }
 
-// Read calls for something of the platform and decodes the answer.
+// Read sends a GET request to the platform and decodes the answer. It returns
+// ErrUnavailable, ErrNotFound, ErrCompacted or ErrGarbage on failure.
 func Read(ctx context.Context, service httpc.Service, address string, timeout time.Duration, result any) error {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -196,10 +199,10 @@
 	return eris.Wrapf(ErrUnavailable, "%s: status %d", r.URL.Path, response.StatusCode)
 }
 
-// Put writes a value if the key has the expected revision; 0 means that there is
-// no value. A lease over 0 removes the value after that time. On ErrConflict the
-// item found is returned.
-func (c *remote) Put(ctx context.Context, key string, value []byte, expect uint64, lease time.Duration) (Item, error) {
+// Put writes a value if the key has the expected revision; 0 means that the key must not
+// exist. If lease is positive, the value is removed after that time. With ErrConflict,
+// Put returns the current item.
+func (c *httpStore) Put(ctx context.Context, key string, value []byte, expect uint64, lease time.Duration) (Item, error) {
 	if len(value) > MaxValue {
 		return Item{}, eris.Wrapf(ErrTooLarge, "%s: %d bytes", key, len(value))
 	}
@@ -213,17 +216,19 @@
 	if err != nil {
 		return Item{}, eris.Wrap(err, "build call")
 	}
-	// A write is never sent again by the HTTP client, so that an unknown outcome
-	// is seen as one.
+	// Without GetBody, the HTTP client does not resend the write, so that an unknown
+	// outcome is reported as ErrUnknown.
 	r.GetBody = nil
 	response, err := c.service.DoRequest(r)
 	if err != nil {
 		return Item{}, writeError(key, err)
 	}
 	defer CloseBody(response)
-	return readWrite(key, response)
+	return writeResult(key, response)
 }
 
+// writeError returns the error of a write without an answer. A write whose connection
+// was not established had no effect.
 func writeError(key string, err error) error {
 	if isDialError(err) {
 		return eris.Wrapf(ErrUnavailable, "%s: %v", key, err)
@@ -231,7 +236,8 @@
 	return eris.Wrapf(ErrUnknown, "%s: %v", key, err)
 }
 
-func readWrite(key string, response *http.Response) (Item, error) {
+// writeResult returns the item or the error of an answer to a write.
+func writeResult(key string, response *http.Response) (Item, error) {
 	var item Item
 	switch response.StatusCode {
 	case http.StatusOK:
@@ -252,26 +258,28 @@
 	return item, eris.Wrapf(ErrUnknown, "%s: status %d", key, response.StatusCode)
 }
 
-// DecodeBody reads the JSON body of an answer of the platform.
+// DecodeBody decodes the JSON body of an answer of the platform. It returns ErrGarbage if
+// the body is malformed.
 func DecodeBody(response *http.Response, result any) error {
-	err := json.NewDecoder(io.LimitReader(response.Body, maxAnswer)).Decode(result)
+	err := json.NewDecoder(io.LimitReader(response.Body, maxAnswerBytes)).Decode(result)
 	if err != nil {
 		return eris.Wrapf(ErrGarbage, "%v", err)
 	}
 	return nil
 }
 
-// CloseBody reads an answer of the platform to its end, so that its connection can
-// be used again.
+// CloseBody reads an answer of the platform to its end and closes it, so that its
+// connection can be reused.
 func CloseBody(response *http.Response) {
-	_, _ = io.Copy(io.Discard, io.LimitReader(response.Body, maxAnswer))
+	_, _ = io.Copy(io.Discard, io.LimitReader(response.Body, maxAnswerBytes))
 	_ = response.Body.Close()
 }
 
-// Instances returns the list of a platform that keeps one.
+// Instances returns the list of backend servers. It returns ErrNotFound if the platform
+// has no separate list.
 func (c *Client) Instances(ctx context.Context, after uint64, wait time.Duration) (Listing, error) {
-	if c.lists == nil {
+	if c.listSource == nil {
 		return Listing{}, eris.Wrap(ErrNotFound, "list of backend servers")
 	}
-	return c.lists.Instances(ctx, after, wait)
+	return c.listSource.Instances(ctx, after, wait)
 }
--- a/storer/documents.go
+++ b/storer/documents.go
@@ -12,7 +12,7 @@
 
 // Prefixes of keys in the store.
 const (
-	// ConfigPrefix begins the keys that instances follow.
+	// ConfigPrefix is the prefix of the keys that instances follow.
 	ConfigPrefix  = "config/"
 	servicePrefix = ConfigPrefix + "service/"
 	ejectPrefix   = ConfigPrefix + "eject/"
@@ -20,16 +20,17 @@
 	claimPrefix   = "claim/"
 )
 
-// ServiceKey returns the key of a declaration.
+// ServiceKey returns the key of a service's declaration.
 func ServiceKey(service string) string { return servicePrefix + service }
 
-// EjectKey returns the key of a set of ejections.
+// EjectKey returns the key of a service's ejections.
 func EjectKey(service string) string { return ejectPrefix + service }
 
-// TallyKey returns the key of the tallies of a service.
+// TallyKey returns the key of a service's tallies.
 func TallyKey(service string) string { return tallyPrefix + service }
 
-// ParseDocument returns the document that an item under ConfigPrefix holds.
+// ParseDocument decodes the document of an item under ConfigPrefix. It returns an error
+// if the key is unknown or the document is not valid.
 func ParseDocument(item Item) (descriptor.Document, error) {
 	d := descriptor.Document{Revision: item.Revision, At: item.At}
 	if name, ok := strings.CutPrefix(item.Key, servicePrefix); ok {
@@ -41,7 +42,7 @@
 			return d, err
 		}
 		if s.Name != name {
-			return d, eris.Wrapf(ErrGarbage, "%s declares %q", item.Key, s.Name)
+			return d, eris.Wrapf(ErrGarbage, "%s declares another service, %q", item.Key, s.Name)
 		}
 		d.Kind = descriptor.KindService
 		d.Name = name
@@ -56,7 +57,7 @@
 		}
 		return d, nil
 	}
-	return d, eris.Wrapf(ErrGarbage, "key %q", item.Key)
+	return d, eris.Wrapf(ErrGarbage, "unknown key %q", item.Key)
 }
 
 // Declarations returns the feed of the documents under ConfigPrefix.
@@ -65,7 +66,7 @@
 		Name:   "store",
 		Prefix: ConfigPrefix,
 		Kind:   descriptor.KindService,
-		Read: func(i Item) (descriptor.Document, bool, error) {
+		DecodeDocument: func(i Item) (descriptor.Document, bool, error) {
 			if i.Deleted {
 				return descriptor.Document{}, false, nil
 			}
@@ -75,8 +76,8 @@
 	}
 }
 
-// backendsDocument returns the document of a service's backend servers. Those
-// that can't be used are left out.
+// backendsDocument returns the document of a service's backend servers. It omits entries
+// without an ID, an address or slots.
 func backendsDocument(l ServiceListing) descriptor.Document {
 	d := descriptor.Document{Kind: descriptor.KindBackends, Name: l.Name, Revision: l.Version}
 	for _, b := range l.Backends {
--- a/storer/follower.go
+++ b/storer/follower.go
@@ -10,52 +10,55 @@
 	"monsoonswitch/descriptor"
 )
 
-// Times of following.
+// Delays after failed calls.
 const (
-	// retryFirst and retryLast bound the waits after failed calls.
-	retryFirst = 100 * time.Millisecond
-	retryLast  = 800 * time.Millisecond
+	// firstRetryDelay is the mean delay after the first failed call. It doubles with
+	// each further one.
+	firstRetryDelay = 100 * time.Millisecond
+	// maxRetryDelay bounds the mean delay.
+	maxRetryDelay = 800 * time.Millisecond
 )
 
-// Pace is how often the platform is asked for changes.
+// Pace sets how often the platform is asked for changes.
 type Pace struct {
-	// Wait is how long one watch waits.
+	// Wait is how long one watch waits for a change.
 	Wait time.Duration
-	// Gap is the least time between two watches of which the first returned
-	// changes.
+	// Gap is the delay between a watch that returned changes and the next watch.
 	Gap time.Duration
 }
 
-// Poster takes events in.
+// Poster accepts events.
 type Poster interface {
-	// Post passes an event on.
+	// Post posts an event.
 	Post(descriptor.Event)
 }
 
-// Reporter is told of the state of the platform.
+// Reporter receives reports about the platform.
 type Reporter interface {
-	// Reachable is called when the platform answers or fails after the opposite.
-	Reachable(source string, ok bool, err error)
-	// BadDocument is called for each document that can't be used.
+	// ReachabilityChanged is called with the first failed call after a successful one,
+	// and with the first successful call after a failed one. err is nil if ok is true.
+	ReachabilityChanged(source string, ok bool, err error)
+	// BadDocument is called for each document that can't be decoded.
 	BadDocument(key string, err error)
 }
 
 // Feed is a prefix of keys that an instance follows.
 type Feed struct {
-	// Name is the source in reports.
+	// Name is the name of the source in reports.
 	Name   string
 	Prefix string
-	// Kind is the kind of the documents, or that of the first of them.
+	// Kind is the kind of the documents, or of the first of them if there are several.
 	Kind descriptor.Kind
-	// Read returns the document of an item, and false if it holds none. It is
-	// nil for a feed of entries.
-	Read func(Item) (descriptor.Document, bool, error)
-	// Entry returns what an item of a backend server says. It is nil for a feed of
-	// documents.
-	Entry func(key string, value []byte) (Entry, error)
+	// DecodeDocument returns the document of an item, and false if the item holds none.
+	// It is nil for a feed of entries.
+	DecodeDocument func(Item) (descriptor.Document, bool, error)
+	// DecodeEntry returns the entry of a backend server in an item. It is nil for a feed
+	// of documents.
+	DecodeEntry func(key string, value []byte) (Entry, error)
 }
 
-// Follower watches the platform while it is active and posts what it learns.
+// Follower watches the platform while it is active and posts the documents it receives.
+// It is safe for use by many goroutines.
 type Follower struct {
 	client   *Client
 	poster   Poster
@@ -63,7 +66,8 @@
 	feeds    []Feed
 	pace     Pace
 
-	mu     sync.Mutex
+	mu sync.Mutex
+	// cancel stops following; it is nil while the follower is not active.
 	cancel context.CancelFunc
 }
 
@@ -87,16 +91,17 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	f.cancel = cancel
 	for _, feed := range f.feeds {
-		go func() { f.repeat(ctx, feed.Name, newChaser(f, feed).step) }()
+		go func() { f.runSteps(ctx, feed.Name, newFeedReader(f, feed).step) }()
 	}
-	if f.client.lists != nil {
-		go func() { f.repeat(ctx, "list", f.followList()) }()
+	if f.client.listSource != nil {
+		go func() { f.runSteps(ctx, "list", f.listStep()) }()
 	}
 }
 
-// repeat calls step until ctx ends, with growing random waits after errors.
-func (f *Follower) repeat(ctx context.Context, source string, step func(context.Context) error) {
-	wait := retryFirst
+// runSteps calls step until ctx ends, with growing random delays after errors. It reports
+// changes of reachability.
+func (f *Follower) runSteps(ctx context.Context, source string, step func(context.Context) error) {
+	wait := firstRetryDelay
 	failing := false
 	for ctx.Err() == nil {
 		err := step(ctx)
@@ -108,37 +113,39 @@
 		}
 		if failing != (err != nil) {
 			failing = err != nil
-			f.reporter.Reachable(source, !failing, err)
+			f.reporter.ReachabilityChanged(source, !failing, err)
 		}
 		if err == nil {
-			wait = retryFirst
+			wait = firstRetryDelay
 			continue
 		}
-		if waitFor(ctx, wait/2+rand.N(wait)) != nil {
+		if sleep(ctx, wait/2+rand.N(wait)) != nil {
 			return
 		}
-		wait = min(2*wait, retryLast)
+		wait = min(2*wait, maxRetryDelay)
 	}
 }
 
-// chaser is the progress of one feed.
-type chaser struct {
-	owner *Follower
-	feed  Feed
-	// after is the revision up to which everything is known; it counts once
+// feedReader reads one feed and holds its progress. It belongs to one goroutine.
+type feedReader struct {
+	follower *Follower
+	feed     Feed
+	// after is the revision up to which all changes are known. It is valid only if
 	// complete is set.
-	after    uint64
+	after uint64
+	// complete reports whether the feed was listed since its history was last
+	// compacted.
 	complete bool
 	roster   *Roster
 }
 
-func newChaser(f *Follower, feed Feed) *chaser {
-	return &chaser{owner: f, feed: feed, roster: NewRoster()}
+func newFeedReader(f *Follower, feed Feed) *feedReader {
+	return &feedReader{follower: f, feed: feed, roster: NewRoster()}
 }
 
-// step reads everything first and changes then, and starts over when the history
-// in between is gone.
-func (c *chaser) step(ctx context.Context) error {
+// step lists the feed first and then watches it for changes. If the history of the
+// changes was compacted, the next step lists again.
+func (c *feedReader) step(ctx context.Context) error {
 	started := time.Now()
 	page, listed, err := c.call(ctx)
 	now := time.Now()
@@ -153,47 +160,48 @@
 	c.after = max(c.after, page.Revision)
 	c.post(page, listed, c.asOf(started, now, listed, len(page.Items)), now)
 	if !listed && len(page.Items) > 0 {
-		_ = waitFor(ctx, c.owner.pace.Gap)
+		_ = sleep(ctx, c.follower.pace.Gap)
 	}
 	return nil
 }
 
-// call makes the next call and tells whether it was for everything.
-func (c *chaser) call(ctx context.Context) (Page, bool, error) {
+// call lists or watches the feed, and reports whether it listed it.
+func (c *feedReader) call(ctx context.Context) (Page, bool, error) {
 	if !c.complete {
-		page, err := c.owner.client.List(ctx, c.feed.Prefix)
+		page, err := c.follower.client.List(ctx, c.feed.Prefix)
 		return page, true, err
 	}
-	page, err := c.owner.client.Watch(ctx, c.feed.Prefix, c.after, c.owner.pace.Wait)
+	page, err := c.follower.client.Watch(ctx, c.feed.Prefix, c.after, c.follower.pace.Wait)
 	return page, false, err
 }
 
-// asOf returns the time as of which an answer holds: a watch without changes
-// holds up to the end of its wait, everything else as of its call.
-func (c *chaser) asOf(started, now time.Time, listed bool, changes int) time.Time {
-	if end := started.Add(c.owner.pace.Wait); !listed && changes == 0 && !end.After(now) {
+// asOf returns the time as of which an answer is current. A watch without changes is
+// current as of the end of its wait, and any other answer as of the start of its call.
+func (c *feedReader) asOf(started, now time.Time, listed bool, changes int) time.Time {
+	if end := started.Add(c.follower.pace.Wait); !listed && changes == 0 && !end.After(now) {
 		return end
 	}
 	return started
 }
 
-// post passes on what an answer says.
-func (c *chaser) post(page Page, listed bool, asOf, now time.Time) {
+// post posts the documents of an answer.
+func (c *feedReader) post(page Page, listed bool, asOf, now time.Time) {
 	e := descriptor.Learned{At: now, Kind: c.feed.Kind, Complete: listed, AsOf: asOf, Revision: page.Revision}
-	if c.feed.Entry != nil {
+	if c.feed.DecodeEntry != nil {
 		e.Documents = c.entries(page, listed)
 	} else {
 		e.Documents = c.documents(page)
 	}
-	c.owner.poster.Post(e)
+	c.follower.poster.Post(e)
 }
 
-func (c *chaser) documents(page Page) []descriptor.Document {
+// documents returns the documents of an answer and reports those that can't be decoded.
+func (c *feedReader) documents(page Page) []descriptor.Document {
 	var result []descriptor.Document
 	for _, item := range page.Items {
-		d, ok, err := c.feed.Read(item)
+		d, ok, err := c.feed.DecodeDocument(item)
 		if err != nil {
-			c.owner.reporter.BadDocument(item.Key, err)
+			c.follower.reporter.BadDocument(item.Key, err)
 			continue
 		}
 		if ok {
@@ -203,8 +211,9 @@
 	return result
 }
 
-// entries returns the lists of backend servers that an answer changes.
-func (c *chaser) entries(page Page, listed bool) []descriptor.Document {
+// entries applies the entries of an answer and returns the lists of backend servers that
+// changed. A backend server whose entry can't be decoded is removed.
+func (c *feedReader) entries(page Page, listed bool) []descriptor.Document {
 	var present []string
 	for _, item := range page.Items {
 		if item.Deleted {
@@ -212,27 +221,26 @@
 			continue
 		}
 		present = append(present, item.Key)
-		entry, err := c.feed.Entry(item.Key, item.Value)
+		entry, err := c.feed.DecodeEntry(item.Key, item.Value)
 		if err != nil {
-			c.owner.reporter.BadDocument(item.Key, err)
+			c.follower.reporter.BadDocument(item.Key, err)
 			c.roster.Remove(item.Key)
 			continue
 		}
 		c.roster.Put(item.Key, entry)
 	}
 	if listed {
-		c.roster.Keep(present)
+		c.roster.Retain(present)
 	}
 	return c.roster.Flush(page.Revision)
 }
 
-// followList returns a step that reads the list of backend servers of a platform
-// that keeps one.
-func (f *Follower) followList() func(context.Context) error {
+// listStep returns a step that watches the platform's separate list of backend servers.
+func (f *Follower) listStep() func(context.Context) error {
 	var after uint64
 	known := make(map[string]uint64)
 	return func(ctx context.Context) error {
-		listing, err := f.client.lists.Instances(ctx, after, f.pace.Wait)
+		listing, err := f.client.listSource.Instances(ctx, after, f.pace.Wait)
 		if err != nil {
 			return err
 		}
--- a/storer/keys_test.go
+++ b/storer/keys_test.go
@@ -9,7 +9,8 @@
 	"monsoonswitch/descriptor"
 )
 
-// TestKeys guards the names of the fields in the platform's store.
+// TestKeys compares the encoded field names of values in the platform's store with a
+// golden file.
 func TestKeys(t *testing.T) {
 	asserter.Keys(t, "testdata/keys.golden", map[string]any{
 		"item":      Item{},
--- a/storer/roster.go
+++ b/storer/roster.go
@@ -7,24 +7,24 @@
 	"monsoonswitch/descriptor"
 )
 
-// Entry is what one backend server says of itself.
+// Entry is the record that one backend server publishes about itself.
 type Entry struct {
 	Service string
 	Backend descriptor.Backend
-	// Order grows with each entry of one incarnation.
+	// Order grows with every entry of one incarnation.
 	Order uint64
 }
 
-// maxOrders is the number of incarnations whose last order is remembered in one
-// generation.
-const maxOrders = 1 << 16
+// ordersPerGeneration is the number of incarnations whose order is kept in one
+// generation, which bounds the memory.
+const ordersPerGeneration = 1 << 16
 
-// Roster puts the lists of backend servers together from single entries. It
-// belongs to one goroutine.
+// Roster assembles the lists of backend servers from their entries. It belongs to one
+// goroutine.
 type Roster struct {
 	entries *container.Table[string, Entry]
-	// orders holds the largest order of each incarnation, also of those gone: an
-	// entry that was delayed on its way may come after a newer one.
+	// orders holds the largest order of each incarnation, including removed ones,
+	// because a delayed entry may arrive after a newer one.
 	orders *container.Generations[string, uint64]
 	// changed lists the services whose lists changed since the last flush.
 	changed map[string]bool
@@ -34,12 +34,13 @@
 func NewRoster() *Roster {
 	return &Roster{
 		entries: container.NewTable[string, Entry](),
-		orders:  container.NewGenerations[string, uint64](maxOrders),
+		orders:  container.NewGenerations[string, uint64](ordersPerGeneration),
 		changed: make(map[string]bool),
 	}
 }
 
-// Put adds or replaces an entry, unless a later one of the incarnation was there.
+// Put adds or replaces an entry. It ignores the entry if a later one of the same
+// incarnation was received before.
 func (r *Roster) Put(key string, e Entry) {
 	if last, ok := r.orders.Get(e.Backend.ID); ok && e.Order < last {
 		return
@@ -56,7 +57,7 @@
 	r.entries.Put(key, e)
 }
 
-// Remove takes in that an entry is not there.
+// Remove removes an entry.
 func (r *Roster) Remove(key string) {
 	if e, ok := r.entries.Get(key); ok {
 		r.changed[e.Service] = true
@@ -64,8 +65,8 @@
 	}
 }
 
-// Keep takes in that the given entries are all there are.
-func (r *Roster) Keep(keys []string) {
+// Retain removes all entries except the given ones.
+func (r *Roster) Retain(keys []string) {
 	present := make(map[string]bool, len(keys))
 	for _, k := range keys {
 		present[k] = true
@@ -81,7 +82,8 @@
 	}
 }
 
-// Flush returns the lists that changed, as of a revision of the store.
+// Flush returns the lists that changed since the last call, sorted by service, with the
+// given revision of the store.
 func (r *Roster) Flush(revision uint64) []descriptor.Document {
 	var result []descriptor.Document
 	for service := range r.changed {
--- a/storer/settle.go
+++ b/storer/settle.go
@@ -11,27 +11,31 @@
 	"github.com/rotisserie/eris"
 )
 
-// Parameters of reading back.
+// Parameters of reading back a write with an unknown outcome.
 const (
-	settleTries = 5
-	settleWait  = 200 * time.Millisecond
+	// verifyTries is the number of times that the key is read.
+	verifyTries = 5
+	// firstVerifyDelay is the delay before the first read. It doubles with each further
+	// one.
+	firstVerifyDelay = 200 * time.Millisecond
 )
 
+// isDialError reports whether a call failed because no connection was established.
 func isDialError(err error) bool {
 	var op *net.OpError
 	return errors.As(err, &op) && op.Op == "dial"
 }
 
-// PutSettled writes like Put, and reads a write with an unknown outcome back
-// until it is known. The value must differ from that of every other writer, for
-// example by the identifier of the change.
+// PutSettled writes like Put. If the outcome of the write is unknown, it reads the key
+// back until the outcome is known, and returns ErrUnknown if this fails. The value must
+// differ from that of every other writer, for example by the identifier of the change.
 func (c *Client) PutSettled(ctx context.Context, key string, value []byte, expect uint64, lease time.Duration) (Item, error) {
 	item, err := c.Put(ctx, key, value, expect, lease)
 	if !errors.Is(err, ErrUnknown) {
 		return item, err
 	}
-	for try := range settleTries {
-		if waitFor(ctx, settleWait<<try) != nil {
+	for try := range verifyTries {
+		if sleep(ctx, firstVerifyDelay<<try) != nil {
 			return Item{}, err
 		}
 		found, getErr := c.Get(ctx, key)
@@ -51,7 +55,8 @@
 	return Item{}, err
 }
 
-func waitFor(ctx context.Context, d time.Duration) error {
+// sleep waits for d. It returns the error of ctx if ctx ends first.
+func sleep(ctx context.Context, d time.Duration) error {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
@@ -62,7 +67,7 @@
 	}
 }
 
-// sameJSON tells whether two values are equal but for white space.
+// sameJSON reports whether two JSON values are equal except for white space.
 func sameJSON(a, b []byte) bool {
 	var x, y bytes.Buffer
 	if json.Compact(&x, a) != nil || json.Compact(&y, b) != nil {
--- a/storer/storer_test.go
+++ b/storer/storer_test.go
@@ -12,8 +12,8 @@
 	"monsoonswitch/storer"
 )
 
-// platform starts the stand-in and returns it with a client.
-func platform(t *testing.T) (*imitator.Store, *storer.Client) {
+// startPlatform starts a stand-in of the platform and returns it with a client.
+func startPlatform(t *testing.T) (*imitator.Store, *storer.Client) {
 	store := imitator.NewStore()
 	p, err := imitator.ServeStore(store, "127.0.0.1:0")
 	asserter.NoError(t, "start", err)
@@ -23,8 +23,8 @@
 
 func TestCompareAndSwap(t *testing.T) {
 	ctx := context.Background()
-	t.Run("one of two writers gets a conflict and the value found", func(t *testing.T) {
-		_, c := platform(t)
+	t.Run("the second of two writers gets a conflict with the current value", func(t *testing.T) {
+		_, c := startPlatform(t)
 		first, err := c.Put(ctx, "k", []byte(`1`), 0, 0)
 		asserter.NoError(t, "first", err)
 		found, err := c.Put(ctx, "k", []byte(`2`), 0, 0)
@@ -33,8 +33,8 @@
 		_, err = c.Put(ctx, "k", []byte(`2`), first.Revision, 0)
 		asserter.NoError(t, "third", err)
 	})
-	t.Run("a lease ends", func(t *testing.T) {
-		_, c := platform(t)
+	t.Run("a value is removed when its lease expires", func(t *testing.T) {
+		_, c := startPlatform(t)
 		_, err := c.Put(ctx, "k", []byte(`1`), 0, 50*time.Millisecond)
 		asserter.NoError(t, "put", err)
 		asserter.Eventually(t, "gone", 10*time.Second, func() bool {
@@ -43,12 +43,12 @@
 		})
 	})
 	t.Run("too large", func(t *testing.T) {
-		_, c := platform(t)
+		_, c := startPlatform(t)
 		_, err := c.Put(ctx, "k", make([]byte, storer.MaxValue+1), 0, 0)
 		asserter.ErrorIs(t, "put", err, storer.ErrTooLarge)
 	})
 	t.Run("outage", func(t *testing.T) {
-		s, c := platform(t)
+		s, c := startPlatform(t)
 		s.SetFault(imitator.StoreFault{Outage: true})
 		_, err := c.Put(ctx, "k", []byte(`1`), 0, 0)
 		asserter.ErrorIs(t, "put", err, storer.ErrUnavailable)
@@ -64,14 +64,14 @@
 
 func TestLostReplies(t *testing.T) {
 	ctx := context.Background()
-	s, c := platform(t)
+	s, c := startPlatform(t)
 	s.SetFault(imitator.StoreFault{Lost: 1})
 	_, err := c.Put(ctx, "plain", []byte(`1`), 0, 0)
 	asserter.ErrorIs(t, "put", err, storer.ErrUnknown)
 	item, err := c.PutSettled(ctx, "settled", []byte(`{"a": 1}`), 0, 0)
 	asserter.NoError(t, "put settled", err)
 	asserter.True(t, "has a revision", item.Revision > 0)
-	t.Run("somebody else wrote", func(t *testing.T) {
+	t.Run("a value of another writer is a conflict", func(t *testing.T) {
 		s.SetFault(imitator.StoreFault{})
 		_, err := c.Put(ctx, "other", []byte(`"theirs"`), 0, 0)
 		asserter.NoError(t, "theirs", err)
@@ -80,21 +80,21 @@
 	})
 }
 
-// sink collects what a follower posts.
+// sink collects the events and reports of a follower.
 type sink struct{ events chan descriptor.Event }
 
 // Post implements storer.Poster.
 func (s sink) Post(e descriptor.Event) { s.events <- e }
 
 // Reachable implements storer.Reporter.
-func (sink) Reachable(string, bool, error) {}
+func (sink) ReachabilityChanged(string, bool, error) {}
 
 // BadDocument implements storer.Reporter.
 func (s sink) BadDocument(key string, _ error) {
 	s.events <- descriptor.Learned{Documents: []descriptor.Document{{Name: "bad " + key}}}
 }
 
-// next returns the next document that the follower learned.
+// next returns the first document of the next Learned event with documents.
 func (s sink) next(t *testing.T) descriptor.Document {
 	t.Helper()
 	for {
@@ -111,23 +111,23 @@
 
 func TestFollower(t *testing.T) {
 	ctx := context.Background()
-	s, c := platform(t)
+	s, c := startPlatform(t)
 	out := sink{make(chan descriptor.Event, 100)}
 	f := storer.NewFollower(c, []storer.Feed{storer.Declarations()}, storer.Pace{Wait: 30 * time.Second}, out, out)
 	f.SetActive(true)
 	defer f.SetActive(false)
 	declaration := `{"Name":"a","Floor":1,"Classes":[{"Name":"c","Target":1000}],"Routes":[{"Name":"r","Methods":["POST"],"Path":"/","Class":"c"}]}`
-	t.Run("learns a declaration", func(t *testing.T) {
+	t.Run("posts a declaration", func(t *testing.T) {
 		_, err := c.Put(ctx, storer.ServiceKey("a"), []byte(declaration), 0, 0)
 		asserter.NoError(t, "put", err)
 		asserter.Equal(t, "name", out.next(t).Name, "a")
 	})
-	t.Run("reports one that can't be used", func(t *testing.T) {
+	t.Run("reports a declaration that is not valid", func(t *testing.T) {
 		_, err := c.Put(ctx, storer.ServiceKey("b"), []byte(`{"Name":"b"}`), 0, 0)
 		asserter.NoError(t, "put", err)
 		asserter.Equal(t, "name", out.next(t).Name, "bad "+storer.ServiceKey("b"))
 	})
-	t.Run("goes on after an outage", func(t *testing.T) {
+	t.Run("continues after an outage", func(t *testing.T) {
 		s.SetFault(imitator.StoreFault{Outage: true})
 		s.SetFault(imitator.StoreFault{})
 		s.Register("a", descriptor.Backend{ID: "x", Address: "127.0.0.1:1", Slots: 2})
--- a/storer/writer.go
+++ b/storer/writer.go
@@ -14,15 +14,16 @@
 )
 
 const (
-	// writeWorkers is the number of writes under way at once.
+	// writeWorkers is the number of concurrent writes.
 	writeWorkers = 4
-	// writeQueue is the number of writes that may wait.
-	writeQueue = 256
-	// claimLease is how long a claim on a key made by a caller is kept.
+	// writeQueueLength is the number of writes that may be queued.
+	writeQueueLength = 256
+	// claimLease is how long the claim of an idempotency key is stored.
 	claimLease = 24 * time.Hour
 )
 
-// Writer carries out writes to the store in the background.
+// Writer carries out writes to the store in the background and posts their results. It is
+// safe for use by many goroutines.
 type Writer struct {
 	client *Client
 	poster Poster
@@ -31,10 +32,10 @@
 	cancel context.CancelFunc
 }
 
-// NewWriter returns a writer.
+// NewWriter returns a writer and starts its workers.
 func NewWriter(c *Client, p Poster) *Writer {
 	ctx, cancel := context.WithCancel(context.Background())
-	w := &Writer{client: c, poster: p, queue: make(chan descriptor.Action, writeQueue), ctx: ctx, cancel: cancel}
+	w := &Writer{client: c, poster: p, queue: make(chan descriptor.Action, writeQueueLength), ctx: ctx, cancel: cancel}
 	for range writeWorkers {
 		go func() {
 			for {
@@ -50,10 +51,10 @@
 	return w
 }
 
-// Close ends all writes.
+// Close cancels all writes and stops the workers.
 func (w *Writer) Close() { w.cancel() }
 
-// Do queues a write. One that finds the queue full is unavailable.
+// Do queues a write. If the queue is full, the result WriteUnavailable is posted.
 func (w *Writer) Do(a descriptor.Action) {
 	select {
 	case w.queue <- a:
@@ -62,6 +63,7 @@
 	}
 }
 
+// writeID returns the identifier of a write, or 0 for other actions.
 func writeID(a descriptor.Action) descriptor.WriteID {
 	switch a := a.(type) {
 	case descriptor.Write:
@@ -94,7 +96,7 @@
 func (w *Writer) writeEjections(a descriptor.Write) descriptor.Written {
 	key := EjectKey(a.Document.Name)
 	item, err := w.put(key, a.Document.Ejections, a.Expect, 0)
-	e := written(item, err)
+	e := writtenEvent(item, err)
 	if e.Result == descriptor.WriteConflict {
 		if d, err := ParseDocument(item); err == nil {
 			e.Current = d
@@ -105,7 +107,7 @@
 
 func (w *Writer) writeTallies(a descriptor.WriteTallies) descriptor.Written {
 	item, err := w.put(TallyKey(a.Service), a.Tallies, a.Expect, 0)
-	e := written(item, err)
+	e := writtenEvent(item, err)
 	if e.Result == descriptor.WriteConflict {
 		if err := json.Unmarshal(item.Value, &e.Tallies); err != nil {
 			e.Result = descriptor.WriteUnavailable
@@ -114,7 +116,7 @@
 	return e
 }
 
-// claim is the value of a claimed key.
+// claim is the stored value of a claimed idempotency key.
 type claim struct {
 	Instance    string `json:"instance"`
 	Incarnation int64  `json:"incarnation"`
@@ -124,10 +126,11 @@
 func (w *Writer) writeClaim(a descriptor.WriteClaim) descriptor.Written {
 	value := claim{Instance: a.Instance, Incarnation: a.Incarnation, Write: uint64(a.Write)}
 	item, err := w.put(claimKey(a.Service, a.Key), value, 0, claimLease)
-	return written(item, err)
+	return writtenEvent(item, err)
 }
 
-// claimKey returns a key of bounded length and safe characters.
+// claimKey returns the store key of a claim. It contains a hash of the idempotency key, to
+// bound its length and its set of characters.
 func claimKey(service, key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return claimPrefix + service + "/" + hex.EncodeToString(sum[:16])
@@ -141,7 +144,8 @@
 	return w.client.PutSettled(w.ctx, key, data, expect, lease)
 }
 
-func written(item Item, err error) descriptor.Written {
+// writtenEvent returns the event for the result of a write.
+func writtenEvent(item Item, err error) descriptor.Written {
 	e := descriptor.Written{Revision: item.Revision}
 	switch {
 	case err == nil:
