--- a/logger/logger.go
+++ b/logger/logger.go
@@ -1,5 +1,4 @@
-// Package logger writes the numbered log events. docs/EVENTS.md is their
-// catalogue.
+// Package logger writes the numbered log events, which docs/EVENTS.md documents.
 package logger
 
 import (
@@ -12,39 +11,39 @@
 	"monsoonswitch/descriptor"
 )
 
-// ErrSetting reports a log setting that can't be used.
+// ErrSetting reports an invalid log setting.
 var ErrSetting = eris.New("invalid log setting")
 
-// Event is one kind of log event.
+// Event is the level and text of a numbered log event.
 type Event struct {
 	Level logrus.Level
 	Text  string
 }
 
-// Catalogue holds every event by number.
+// Catalogue holds all events by number.
 var Catalogue = map[int]Event{
 	descriptor.NoteStarted:       {logrus.InfoLevel, "instance started"},
 	descriptor.NoteReady:         {logrus.InfoLevel, "instance ready"},
-	descriptor.NoteLeaving:       {logrus.InfoLevel, "instance leaving"},
+	descriptor.NoteLeaving:       {logrus.InfoLevel, "instance shutting down"},
 	descriptor.NoteStopped:       {logrus.InfoLevel, "instance stopped"},
 	descriptor.NoteSignal:        {logrus.InfoLevel, "signal received"},
 	descriptor.NoteRevision:      {logrus.InfoLevel, "declaration in force"},
 	descriptor.NoteStoreAway:     {logrus.WarnLevel, "platform unreachable"},
 	descriptor.NoteStoreBack:     {logrus.InfoLevel, "platform reachable again"},
-	descriptor.NoteBadDocument:   {logrus.ErrorLevel, "document in store can't be used"},
-	descriptor.NoteWatching:      {logrus.InfoLevel, "following the platform"},
-	descriptor.NoteMemberNew:     {logrus.InfoLevel, "instance known"},
+	descriptor.NoteBadDocument:   {logrus.ErrorLevel, "invalid document in store"},
+	descriptor.NoteWatching:      {logrus.InfoLevel, "watching the platform's store"},
+	descriptor.NoteMemberNew:     {logrus.InfoLevel, "instance discovered"},
 	descriptor.NoteMemberSuspect: {logrus.WarnLevel, "instance suspected"},
-	descriptor.NoteMemberDead:    {logrus.WarnLevel, "instance given up"},
+	descriptor.NoteMemberDead:    {logrus.WarnLevel, "instance declared dead"},
 	descriptor.NoteMemberLeft:    {logrus.InfoLevel, "instance left"},
 	descriptor.NoteLinkBad:       {logrus.WarnLevel, "link refused"},
 	descriptor.NoteEjected:       {logrus.WarnLevel, "backend server ejected"},
-	descriptor.NoteReturned:      {logrus.InfoLevel, "backend server back from ejection"},
+	descriptor.NoteReturned:      {logrus.InfoLevel, "backend server reinstated after ejection"},
 	descriptor.NoteAvoided:       {logrus.InfoLevel, "backend server avoided"},
 	descriptor.NoteDown:          {logrus.WarnLevel, "backend server down"},
 	descriptor.NoteUp:            {logrus.InfoLevel, "backend server up"},
 	descriptor.NoteDrain:         {logrus.InfoLevel, "backend server draining"},
-	descriptor.NotePoison:        {logrus.ErrorLevel, "request brings backend servers down"},
+	descriptor.NotePoison:        {logrus.ErrorLevel, "request crashes backend servers"},
 	descriptor.NoteTrial:         {logrus.InfoLevel, "backend server on trial"},
 	descriptor.NoteAdmitted:      {logrus.InfoLevel, "request admitted"},
 	descriptor.NoteQueued:        {logrus.InfoLevel, "request queued"},
@@ -54,26 +53,28 @@
 	descriptor.NoteRefused:       {logrus.InfoLevel, "request refused"},
 	descriptor.NoteCancelled:     {logrus.InfoLevel, "attempt cancelled"},
 	descriptor.NoteEnded:         {logrus.InfoLevel, "request ended"},
-	descriptor.NoteLogDropped:    {logrus.InfoLevel, "requests left out of the log"},
+	descriptor.NoteLogDropped:    {logrus.InfoLevel, "requests omitted from the log"},
 	descriptor.NoteTallyLate:     {logrus.WarnLevel, "tallies unconfirmed"},
 	descriptor.NoteTallyFinal:    {logrus.InfoLevel, "tallies confirmed"},
 }
 
-// Logger writes events of one instance. It is safe for use by many goroutines.
+// Logger writes the events of one instance. It is safe for use by many goroutines.
 type Logger struct {
-	entry  *logrus.Entry
-	writer *writer
-	trails trails
+	entry         *logrus.Entry
+	writer        *writer
+	requestBudget requestBudget
 }
 
-// Volume bounds the lines about requests.
+// Volume bounds the number of requests that are logged.
 type Volume struct {
-	// Notable is the number of requests a second that are told in full because
-	// they failed, were refused, sent again or slow; Sampled that of others.
+	// Notable is the number of requests per second that are logged because they failed,
+	// were refused, were retried or missed their target. Sampled is the number of other
+	// requests per second.
 	Notable, Sampled float64
 }
 
-// New returns a logger with the given level and format, which is text or json.
+// New returns a logger with the given level and format, which is text or json. It returns
+// ErrSetting if the level or the format is unknown.
 func New(w io.Writer, level, format, instance string, v Volume) (*Logger, error) {
 	l := logrus.New()
 	out := newWriter(w)
@@ -91,23 +92,23 @@
 	default:
 		return nil, eris.Wrapf(ErrSetting, "format %q", format)
 	}
-	return &Logger{entry: l.WithField("instance", instance), writer: out, trails: trails{volume: v}}, nil
+	return &Logger{entry: l.WithField("instance", instance), writer: out, requestBudget: requestBudget{volume: v}}, nil
 }
 
-// closeTime bounds the wait for the last lines.
-const closeTime = 500 * time.Millisecond
+// closeTimeout bounds the time for writing the queued lines.
+const closeTimeout = 500 * time.Millisecond
 
-// Close waits a moment until what was logged is written; what is logged later is
-// dropped. It is called once.
+// Close waits up to closeTimeout until all queued lines are written. Lines logged later
+// are dropped. It must be called only once.
 func (l *Logger) Close() {
 	close(l.writer.stop)
 	select {
 	case <-l.writer.done:
-	case <-time.After(closeTime):
+	case <-time.After(closeTimeout):
 	}
 }
 
-// Event writes one numbered event. An unknown number is written as an error.
+// Event writes one numbered event. An unknown number is logged as an error.
 func (l *Logger) Event(number int, service, subject, detail string) {
 	e, ok := Catalogue[number]
 	if !ok {
@@ -123,5 +124,5 @@
 	l.entry.WithFields(fields).Log(e.Level, e.Text)
 }
 
-// Note writes the event of an action.
+// Note writes the event of a Note action.
 func (l *Logger) Note(n descriptor.Note) { l.Event(n.Number, n.Service, n.Subject, n.Detail) }
--- a/logger/logger_test.go
+++ b/logger/logger_test.go
@@ -14,7 +14,7 @@
 
 var row = regexp.MustCompile(`(?m)^\| (\d+) \| (\w+) \| ([^|]+) \|`)
 
-// TestCatalogue compares the events of the code with docs/EVENTS.md.
+// TestCatalogue compares the events in the code with docs/EVENTS.md.
 func TestCatalogue(t *testing.T) {
 	data, err := os.ReadFile("../docs/EVENTS.md")
 	asserter.NoError(t, "read catalogue", err)
@@ -45,39 +45,39 @@
 	asserter.ErrorIs(t, "format", err, ErrSetting)
 }
 
-// blocked is an output that takes nothing until it is released.
-type blocked struct{ release chan struct{} }
+// blockedOutput is an output whose writes block until release is closed.
+type blockedOutput struct{ release chan struct{} }
 
 // Write implements io.Writer.
-func (b blocked) Write(p []byte) (int, error) {
+func (b blockedOutput) Write(p []byte) (int, error) {
 	<-b.release
 	return len(p), nil
 }
 
-// trail returns what was decided about a request.
-func trail(reason descriptor.Reason) descriptor.Trail {
+// newTrail returns the trace of a request that ended with reason.
+func newTrail(reason descriptor.Reason) descriptor.Trail {
 	return descriptor.Trail{Label: "id", Reason: reason, Target: time.Second, Lines: []descriptor.Trace{
 		{Number: descriptor.NoteAdmitted}, {Number: descriptor.NotePlaced, Backend: "b", Attempt: 1},
 	}}
 }
 
 func TestBlockedOutput(t *testing.T) {
-	out := blocked{make(chan struct{})}
+	out := blockedOutput{make(chan struct{})}
 	l, err := New(out, "info", "json", "entry-1", Volume{Notable: 1e5, Sampled: 1e5})
 	asserter.NoError(t, "new", err)
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		for range 2 * queueLines {
-			l.Trail(time.Now(), trail(descriptor.BackendFailed))
+		for range 2 * queueLength {
+			l.LogRequest(time.Now(), newTrail(descriptor.BackendFailed))
 		}
 	}()
 	select {
 	case <-done:
 	case <-time.After(time.Minute):
-		t.Fatal("got a logger that blocks, want lines dropped")
+		t.Fatal("the logger blocks, want lines dropped")
 	}
-	asserter.AtLeast(t, "lines dropped", l.Dropped(), uint64(queueLines))
+	asserter.AtLeast(t, "lines dropped", l.Dropped(), uint64(queueLength))
 	close(out.release)
 	l.Close()
 }
@@ -87,24 +87,23 @@
 	l, err := New(&out, "info", "json", "entry-1", Volume{Notable: 2, Sampled: 1})
 	asserter.NoError(t, "new", err)
 	now := time.Unix(1000, 0)
-	// In a storm of ten seconds each millisecond brings a failed request and one
-	// that went well.
+	// For ten seconds, one request fails and one succeeds every millisecond.
 	for i := range 10000 {
 		at := now.Add(time.Duration(i) * time.Millisecond)
-		l.Trail(at, trail(descriptor.BackendFailed))
-		l.Trail(at, trail(descriptor.Served))
+		l.LogRequest(at, newTrail(descriptor.BackendFailed))
+		l.LogRequest(at, newTrail(descriptor.Served))
 	}
-	l.Trail(now.Add(time.Minute), trail(descriptor.BackendFailed))
+	l.LogRequest(now.Add(time.Minute), newTrail(descriptor.BackendFailed))
 	l.Close()
 	count := func(text string) int { return bytes.Count(out.Bytes(), []byte(text)) }
-	t.Run("the budget holds", func(t *testing.T) {
-		asserter.AtMost(t, "failed requests told", count(`"reason":"backend-failed"`), 2*10+2*3+1)
-		asserter.AtMost(t, "others told", count(`"reason":"served"`), 1*10+1*3)
+	t.Run("the numbers of logged requests stay within the budget", func(t *testing.T) {
+		asserter.AtMost(t, "failed requests logged", count(`"reason":"backend-failed"`), 2*10+2*3+1)
+		asserter.AtMost(t, "other requests logged", count(`"reason":"served"`), 1*10+1*3)
 	})
-	t.Run("what is told is told in full", func(t *testing.T) {
+	t.Run("logged requests have all their events", func(t *testing.T) {
 		asserter.Equal(t, "placements", count(`"event":6003`), count(`"event":6008`))
 	})
-	t.Run("what is left out is counted", func(t *testing.T) {
+	t.Run("omitted requests are counted", func(t *testing.T) {
 		asserter.AtLeast(t, "counts", count(`"event":6009`), 1)
 	})
 }
--- a/logger/trail.go
+++ b/logger/trail.go
@@ -11,21 +11,21 @@
 )
 
 const (
-	// burstTime is the time whose quota of requests may be told at once.
-	burstTime = 3 * time.Second
-	// leftOutEvery is the time between counts of the requests left out.
-	leftOutEvery = 10 * time.Second
+	// burstWindow is the time for which an unused quota accumulates.
+	burstWindow = 3 * time.Second
+	// omittedReportInterval is the least time between two reports of omitted requests.
+	omittedReportInterval = 10 * time.Second
 )
 
-// quota is a number of requests that may be told now; it grows with time.
+// quota is a token bucket: left is the number of requests that may be logged as of at.
 type quota struct {
 	left float64
 	at   time.Time
 }
 
-// WithTime returns q as of now, at a number of requests a second.
+// WithTime returns q as of now. rate is the number of requests added per second.
 func (q quota) WithTime(now time.Time, rate float64) quota {
-	burst := math.Max(1, rate*burstTime.Seconds())
+	burst := math.Max(1, rate*burstWindow.Seconds())
 	if passed := now.Sub(q.at).Seconds(); passed > 0 && !q.at.IsZero() {
 		q.left = math.Min(burst, q.left+rate*passed)
 	} else if q.at.IsZero() {
@@ -35,55 +35,56 @@
 	return q
 }
 
-// trails decides which requests are told.
-type trails struct {
+// requestBudget decides which requests are logged.
+type requestBudget struct {
 	volume          Volume
 	mu              sync.Mutex
 	notable, sample quota
-	// leftOut counts the requests not told since leftOutAt.
-	leftOut, leftOutNotable uint64
-	leftOutAt               time.Time
+	// omitted and omittedNotable count the requests that were not logged since
+	// omittedSince.
+	omitted, omittedNotable uint64
+	omittedSince            time.Time
 }
 
-// admits tells whether a request is to be told, and returns the counts of those
-// left out once these are due.
-func (t *trails) admits(now time.Time, notable bool) (told bool, leftOut, leftOutNotable uint64) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.notable = t.notable.WithTime(now, t.volume.Notable)
-	t.sample = t.sample.WithTime(now, t.volume.Sampled)
-	q := &t.sample
+// admit reports whether a request is logged. If a report of omitted requests is due, it
+// also returns and resets their counts; otherwise the counts are 0.
+func (b *requestBudget) admit(now time.Time, notable bool) (admitted bool, omitted, omittedNotable uint64) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.notable = b.notable.WithTime(now, b.volume.Notable)
+	b.sample = b.sample.WithTime(now, b.volume.Sampled)
+	q := &b.sample
 	if notable {
-		q = &t.notable
+		q = &b.notable
 	}
-	if told = q.left >= 1; told {
+	if admitted = q.left >= 1; admitted {
 		q.left--
 	} else {
-		t.leftOut++
+		b.omitted++
 		if notable {
-			t.leftOutNotable++
+			b.omittedNotable++
 		}
 	}
-	if t.leftOut > 0 && now.Sub(t.leftOutAt) >= leftOutEvery {
-		leftOut, leftOutNotable = t.leftOut, t.leftOutNotable
-		t.leftOut, t.leftOutNotable, t.leftOutAt = 0, 0, now
+	if b.omitted > 0 && now.Sub(b.omittedSince) >= omittedReportInterval {
+		omitted, omittedNotable = b.omitted, b.omittedNotable
+		b.omitted, b.omittedNotable, b.omittedSince = 0, 0, now
 	}
-	return told, leftOut, leftOutNotable
+	return admitted, omitted, omittedNotable
 }
 
-// Trail writes what was decided about a request, if the budget allows.
-func (l *Logger) Trail(now time.Time, t descriptor.Trail) {
-	told, leftOut, notable := l.trails.admits(now, t.Notable())
-	if leftOut > 0 {
+// LogRequest writes the events of a request, if the budget allows.
+func (l *Logger) LogRequest(now time.Time, t descriptor.Trail) {
+	admitted, omitted, notable := l.requestBudget.admit(now, t.Notable())
+	if omitted > 0 {
 		l.entry.WithFields(logrus.Fields{
-			"event": descriptor.NoteLogDropped, "requests": leftOut, "notable": notable, "lines": l.Dropped(),
+			"event": descriptor.NoteLogDropped, "requests": omitted, "notable": notable, "lines": l.Dropped(),
 		}).Log(Catalogue[descriptor.NoteLogDropped].Level, Catalogue[descriptor.NoteLogDropped].Text)
 	}
-	if !told {
+	if !admitted {
 		return
 	}
 	for _, line := range t.Lines {
-		l.trace(t, line)
+		l.logEntry(t, line)
 	}
 	e := Catalogue[descriptor.NoteEnded]
 	l.entry.WithFields(logrus.Fields{
@@ -93,8 +94,8 @@
 	}).Log(e.Level, e.Text)
 }
 
-// trace writes one decision.
-func (l *Logger) trace(t descriptor.Trail, line descriptor.Trace) {
+// logEntry writes one event of a request.
+func (l *Logger) logEntry(t descriptor.Trail, line descriptor.Trace) {
 	fields := logrus.Fields{
 		"event": line.Number, "id": t.Label, "request": t.Request, "service": t.Service,
 		"at": line.At.Format(time.RFC3339Nano), "queued": line.Queued, "inflight": line.InFlight,
@@ -105,8 +106,8 @@
 	if line.Backend != "" {
 		fields["backend"] = line.Backend
 		fields["attempt"] = line.Attempt
-		fields["trust"] = rounded(line.Trust)
-		fields["load"] = rounded(line.Load)
+		fields["trust"] = roundToThousandths(line.Trust)
+		fields["load"] = roundToThousandths(line.Load)
 	}
 	if line.Status != 0 {
 		fields["status"] = line.Status
@@ -120,8 +121,9 @@
 
 func millis(d time.Duration) int64 { return d.Milliseconds() }
 
-// rounded returns a value with three decimals.
-func rounded(v float64) float64 { return math.Round(v*1000) / 1000 }
+// roundToThousandths returns a value rounded to three decimals.
+func roundToThousandths(v float64) float64 { return math.Round(v*1000) / 1000 }
 
-// Dropped returns the number of lines that found the output too slow.
+// Dropped returns the number of lines that were dropped because the output was too slow
+// or failed.
 func (l *Logger) Dropped() uint64 { return l.writer.dropped.Load() }
--- a/logger/writer.go
+++ b/logger/writer.go
@@ -5,11 +5,11 @@
 	"sync/atomic"
 )
 
-// queueLines is the number of log lines that may wait for a slow output.
-const queueLines = 1024
+// queueLength is the number of log lines that may be queued for a slow output.
+const queueLength = 1024
 
-// writer passes lines on to an output that may block, without ever blocking those
-// who log: lines that find the queue full are dropped and counted.
+// writer writes lines to an output that may block, without blocking the goroutines that
+// log. Lines are dropped and counted if the queue is full.
 type writer struct {
 	lines   chan []byte
 	stop    chan struct{}
@@ -18,13 +18,13 @@
 }
 
 func newWriter(out io.Writer) *writer {
-	w := &writer{lines: make(chan []byte, queueLines), stop: make(chan struct{}), done: make(chan struct{})}
+	w := &writer{lines: make(chan []byte, queueLength), stop: make(chan struct{}), done: make(chan struct{})}
 	go func() {
 		defer close(w.done)
 		for {
 			select {
 			case line := <-w.lines:
-				w.pass(out, line)
+				w.writeLine(out, line)
 			case <-w.stop:
 				w.drain(out)
 				return
@@ -34,26 +34,27 @@
 	return w
 }
 
-// drain passes on what waits.
+// drain writes the queued lines.
 func (w *writer) drain(out io.Writer) {
 	for {
 		select {
 		case line := <-w.lines:
-			w.pass(out, line)
+			w.writeLine(out, line)
 		default:
 			return
 		}
 	}
 }
 
-// pass writes one line. There is nowhere else to say that it can't be written.
-func (w *writer) pass(out io.Writer, line []byte) {
+// writeLine writes one line. It counts a failed write as dropped, because there is no
+// other place to report it.
+func (w *writer) writeLine(out io.Writer, line []byte) {
 	if _, err := out.Write(line); err != nil {
 		w.dropped.Add(1)
 	}
 }
 
-// Write implements io.Writer for one line.
+// Write implements io.Writer. It queues one line.
 func (w *writer) Write(line []byte) (int, error) {
 	select {
 	case w.lines <- append([]byte(nil), line...):
--- a/recorder/recorder.go
+++ b/recorder/recorder.go
@@ -1,4 +1,4 @@
-// Package recorder keeps the metrics of a process.
+// Package recorder records the metrics of an instance.
 package recorder
 
 import (
@@ -13,26 +13,27 @@
 	"monsoonswitch/descriptor"
 )
 
-// Parameters of the latency sample.
+// Parameters of the exponentially decaying latency sample: the number of values, and the
+// weight of recent ones.
 const (
 	sampleSize  = 1028
 	sampleAlpha = 0.015
 )
 
-// Recorder keeps the metrics of one instance. It is safe for use by many
-// goroutines.
+// Recorder records the metrics of one instance. It is safe for use by many goroutines.
 type Recorder struct {
 	registry metrics.Registry
 	served   metrics.Timer
-	// ended counts the requests by reason.
-	ended    []metrics.Counter
+	// ended counts the ended requests by reason.
+	ended []metrics.Counter
+	// open is the number of requests in flight.
 	open     metrics.Counter
 	attempts metrics.Counter
 	faults   metrics.Counter
 	bytes    metrics.Counter
 }
 
-// New returns a recorder without counts.
+// New returns a recorder whose metrics are zero.
 func New() *Recorder {
 	r := &Recorder{registry: metrics.NewRegistry()}
 	r.served = metrics.NewCustomTimer(metrics.NewHistogram(metrics.NewExpDecaySample(sampleSize, sampleAlpha)), metrics.NewMeter())
@@ -54,19 +55,20 @@
 }
 
 func (r *Recorder) register(name string, metric any) {
-	// The names are distinct constants, which Register takes without error.
+	// Register fails only on duplicate names, and all names are distinct constants.
 	_ = r.registry.Register(name, metric)
 }
 
-// Gauge adds a value that is read when the metrics are.
-func (r *Recorder) Gauge(name string, read func() int64) {
+// AddGauge adds a metric whose value is read when the metrics are written.
+func (r *Recorder) AddGauge(name string, read func() int64) {
 	r.register(name, metrics.NewFunctionalGauge(read))
 }
 
 // Begin counts a request that arrived.
 func (r *Recorder) Begin() { r.open.Inc(1) }
 
-// End counts a request that ended after d with an answer of the given bytes.
+// End counts a request that ended with a reason, after d and with an answer of the given
+// number of bytes.
 func (r *Recorder) End(reason descriptor.Reason, d time.Duration, bytes uint64) {
 	r.open.Dec(1)
 	r.ended[reason].Inc(1)
@@ -82,22 +84,22 @@
 // Fault counts a failed attempt.
 func (r *Recorder) Fault() { r.faults.Inc(1) }
 
-// quantiles are those of the latency of served requests that are written.
+// quantiles are the written quantiles of the latency of served requests.
 var quantiles = []float64{0.5, 0.9, 0.99, 0.999}
 
-// Write writes all metrics as text in the usual exposition format: a name with an
-// underscore for each dot, a value, and a label for the reason or the quantile.
+// Write writes all metrics in the Prometheus text format. Dots and dashes in names become
+// underscores, and reasons and quantiles become labels.
 func (r *Recorder) Write(w io.Writer) {
 	var lines []string
-	r.registry.Each(func(name string, metric any) { lines = append(lines, exposed(name, metric)...) })
+	r.registry.Each(func(name string, metric any) { lines = append(lines, expositionLines(name, metric)...) })
 	sort.Strings(lines)
 	for _, line := range lines {
 		fmt.Fprintln(w, line)
 	}
 }
 
-// exposed returns the lines of one metric.
-func exposed(name string, metric any) []string {
+// expositionLines returns the lines of one metric in the Prometheus text format.
+func expositionLines(name string, metric any) []string {
 	label := ""
 	if base, reason, ok := strings.Cut(name, endedPrefix); ok && base == "" {
 		name, label = "requests_ended", fmt.Sprintf("{reason=%q}", reason)
@@ -119,5 +121,5 @@
 	return nil
 }
 
-// endedPrefix begins the names of the counts of ended requests by reason.
+// endedPrefix is the prefix of the names of the counters of ended requests by reason.
 const endedPrefix = "ended."
--- a/recorder/recorder_test.go
+++ b/recorder/recorder_test.go
@@ -16,7 +16,7 @@
 	r.End(descriptor.Served, 20*time.Millisecond, 100)
 	r.Begin()
 	r.End(descriptor.NoBackend, time.Millisecond, 0)
-	r.Gauge("links.sentbytes", func() int64 { return 7 })
+	r.AddGauge("links.sentbytes", func() int64 { return 7 })
 	var out bytes.Buffer
 	r.Write(&out)
 	for _, line := range []string{
--- a/server/server.go
+++ b/server/server.go
@@ -148,10 +148,10 @@
 	s.forwarder = forwarder.New(options, s.dialect(options), control, s.recorder)
 	s.controller = controller.New(s.machine(now), s)
 	control.set(s.controller)
-	s.recorder.Gauge("links.sentbytes", func() int64 { return int64(s.linker.Traffic().SentBytes) })
-	s.recorder.Gauge("links.receivedbytes", func() int64 { return int64(s.linker.Traffic().ReceivedBytes) })
-	s.recorder.Gauge("links.sentmessages", func() int64 { return int64(s.linker.Traffic().SentMessages) })
-	s.recorder.Gauge("links.dropped", func() int64 { return int64(s.linker.Traffic().Dropped) })
+	s.recorder.AddGauge("links.sentbytes", func() int64 { return int64(s.linker.Traffic().SentBytes) })
+	s.recorder.AddGauge("links.receivedbytes", func() int64 { return int64(s.linker.Traffic().ReceivedBytes) })
+	s.recorder.AddGauge("links.sentmessages", func() int64 { return int64(s.linker.Traffic().SentMessages) })
+	s.recorder.AddGauge("links.dropped", func() int64 { return int64(s.linker.Traffic().Dropped) })
 }
 
 // usesRouting reports whether the services are declared by a routing of the platform's
@@ -218,7 +218,7 @@
 	case descriptor.Note:
 		s.log.Note(a)
 	case descriptor.Trail:
-		s.log.Trail(time.Now(), a)
+		s.log.LogRequest(time.Now(), a)
 	case descriptor.Leave:
 		if !s.isExitAllowed.Swap(true) {
 			close(s.exitAllowed)
