--- a/explainer/explainer.go
+++ b/explainer/explainer.go
@@ -1,5 +1,5 @@
-// Package explainer puts the story of one request together from the logs of
-// several instances.
+// Package explainer assembles the timeline of one request from the logs of several
+// instances.
 package explainer
 
 import (
@@ -17,10 +17,10 @@
 	"monsoonswitch/logger"
 )
 
-// ErrUnknown reports that no line tells of a request.
-var ErrUnknown = eris.New("no line about the request")
+// ErrUnknown reports that the logs hold no line about a request.
+var ErrUnknown = eris.New("no log line about the request")
 
-// maxLine bounds a line in bytes.
+// maxLine bounds the length of a log line in bytes.
 const maxLine = 1 << 20
 
 // line is one log line.
@@ -29,7 +29,7 @@
 	ID       string    `json:"id"`
 	Instance string    `json:"instance"`
 	Time     time.Time `json:"time"`
-	// At is the time of a decision, which is finer than Time.
+	// At is the time of the decision, with a finer resolution than Time.
 	At       time.Time `json:"at"`
 	Service  string    `json:"service"`
 	Class    string    `json:"class"`
@@ -53,7 +53,7 @@
 	Age      int64     `json:"currentage"`
 }
 
-// when returns the time of the decision.
+// when returns the time of the decision, or the time of the line if it has none.
 func (l line) when() time.Time {
 	if l.At.IsZero() {
 		return l.Time
@@ -61,18 +61,19 @@
 	return l.At
 }
 
-// Log holds the lines of all files that can be read.
+// Log holds the valid lines of all files.
 type Log struct {
 	lines []line
-	// Skipped counts the lines that are no log lines, by file.
+	// Skipped is the number of lines in each file that are not valid log lines.
 	Skipped map[string]int
 }
 
 // NewLog returns a log without lines.
 func NewLog() *Log { return &Log{Skipped: make(map[string]int)} }
 
-// Read takes the lines of one file in. A line may have words before its JSON, as
-// collectors of logs add them; one that can't be read is counted.
+// Read adds the lines of one file. A line may have text before its JSON, as log
+// collectors add it. Lines that can't be decoded are counted in Skipped. It returns an
+// error if the file can't be read or a line is longer than 1 MiB.
 func (l *Log) Read(file string, r io.Reader) error {
 	scanner := bufio.NewScanner(r)
 	scanner.Buffer(make([]byte, 0, 1<<16), maxLine)
@@ -89,53 +90,54 @@
 	return eris.Wrapf(scanner.Err(), "read %s", file)
 }
 
-// isRequest tells whether an event is about a request.
+// isRequest reports whether an event belongs to a request.
 func isRequest(event int) bool {
 	return event >= descriptor.NoteAdmitted && event <= descriptor.NoteEnded
 }
 
-// Explain writes the story of a request: its decisions in order, and what the
-// instances that took part began to believe shortly before and meanwhile.
+// Explain writes the timeline of a request: its events in order, and the events of the
+// instances involved from shortly before the request until its end. It returns ErrUnknown
+// if the log has no line about the request.
 func (l *Log) Explain(w io.Writer, id string) error {
-	var own []line
+	var ownLines []line
 	services, instances := make(map[string]bool), make(map[string]bool)
 	for _, v := range l.lines {
 		if v.ID == id && isRequest(v.Event) {
-			own = append(own, v)
+			ownLines = append(ownLines, v)
 			services[v.Service] = true
 			instances[v.Instance] = true
 		}
 	}
-	if len(own) == 0 {
-		return eris.Wrapf(ErrUnknown, "%s: it was never here, or the log's budget left it out (event %d)", id, descriptor.NoteLogDropped)
+	if len(ownLines) == 0 {
+		return eris.Wrapf(ErrUnknown, "%s: it never reached these instances, or the log budget omitted it (event %d)", id, descriptor.NoteLogDropped)
 	}
-	sort.SliceStable(own, func(i, j int) bool { return own[i].when().Before(own[j].when()) })
-	begin, end := own[0].when(), own[len(own)-1].when()
-	story := append(l.around(begin, end, services, instances), own...)
-	sort.SliceStable(story, func(i, j int) bool { return story[i].when().Before(story[j].when()) })
-	for _, v := range story {
+	sort.SliceStable(ownLines, func(i, j int) bool { return ownLines[i].when().Before(ownLines[j].when()) })
+	begin, end := ownLines[0].when(), ownLines[len(ownLines)-1].when()
+	timeline := append(l.contextLines(begin, end, services, instances), ownLines...)
+	sort.SliceStable(timeline, func(i, j int) bool { return timeline[i].when().Before(timeline[j].when()) })
+	for _, v := range timeline {
 		fmt.Fprintf(w, "%+9.3fs  %-20s %s\n", v.when().Sub(begin).Seconds(), v.Instance, v.text())
 	}
 	return nil
 }
 
-// before is how long before a request the beliefs of an instance are told.
-const before = 5 * time.Second
+// contextTime is the time before a request from which other events are included.
+const contextTime = 5 * time.Second
 
-// around returns what the given instances noted about the given services or about
-// themselves while a request was open and shortly before.
-func (l *Log) around(begin, end time.Time, services, instances map[string]bool) []line {
+// contextLines returns the events of the given instances about the given services or the
+// instances themselves, from contextTime before begin until end.
+func (l *Log) contextLines(begin, end time.Time, services, instances map[string]bool) []line {
 	var result []line
 	for _, v := range l.lines {
 		about := services[v.Service] || v.Service == ""
-		if !isRequest(v.Event) && about && instances[v.Instance] && v.when().After(begin.Add(-before)) && !v.when().After(end) {
+		if !isRequest(v.Event) && about && instances[v.Instance] && v.when().After(begin.Add(-contextTime)) && !v.when().After(end) {
 			result = append(result, v)
 		}
 	}
 	return result
 }
 
-// text returns one line of a story.
+// text returns the line as written in a timeline.
 func (l line) text() string {
 	name := logger.Catalogue[l.Event].Text
 	var parts []string
