--- a/operator/keys_test.go
+++ b/operator/keys_test.go
@@ -7,7 +7,7 @@
 	"monsoonswitch/asserter"
 )
 
-// TestKeys guards the names of the fields that operators see.
+// TestKeys compares the encoded field names of status and dump with a golden file.
 func TestKeys(t *testing.T) {
 	asserter.Keys(t, "testdata/keys.golden", map[string]any{
 		"status": Status{},
--- a/operator/operator.go
+++ b/operator/operator.go
@@ -1,5 +1,5 @@
-// Package operator serves operators: health, status, dump and metrics of one
-// process.
+// Package operator serves the health, status, dump and metrics of one instance to
+// operators.
 package operator
 
 import (
@@ -11,7 +11,7 @@
 	"monsoonswitch/descriptor"
 )
 
-// Paths of the operators' listener.
+// Paths that are served to operators.
 const (
 	HealthPath  = "/health"
 	StatusPath  = "/status"
@@ -19,19 +19,19 @@
 	MetricsPath = "/metrics"
 )
 
-// Source gives the state of the process.
+// Source provides the state of the instance.
 type Source interface {
-	// Dump returns the state at one instant, and false during shutdown.
+	// Dump returns a consistent snapshot of the state, and false after shutdown.
 	Dump() (descriptor.Dump, bool)
-	// WriteMetrics writes all metrics as text.
+	// WriteMetrics writes all metrics in the Prometheus text format.
 	WriteMetrics(io.Writer)
 	// Settings returns the settings without secrets.
 	Settings() any
-	// Listening returns the addresses listened on.
+	// Listening returns the addresses that the instance listens on.
 	Listening() Listening
 }
 
-// Status is the short state of an instance.
+// Status is a summary of the state of an instance.
 type Status struct {
 	Instance    string    `json:"instance"`
 	Incarnation int64     `json:"incarnation"`
@@ -42,7 +42,7 @@
 	Services    []InForce `json:"services"`
 }
 
-// Peer is an instance as another one knows it.
+// Peer is an instance as known to the reporting instance.
 type Peer struct {
 	Instance string `json:"instance"`
 	Address  string `json:"address"`
@@ -51,14 +51,14 @@
 	Ready    bool   `json:"ready"`
 }
 
-// InForce is the revision of a declaration that an instance has in force.
+// InForce is the revision of a declaration that is in force at an instance.
 type InForce struct {
 	Service  string `json:"service"`
 	Revision uint64 `json:"revision"`
-	// Serving tells that the instance serves the service.
+	// Serving reports whether the instance serves the service.
 	Serving bool `json:"serving"`
-	// Seconds is the time from the acceptance of the revision to its being in
-	// force here.
+	// Seconds is the time from the acceptance of the revision by the store until it was
+	// in force at this instance; 0 means that it is unknown.
 	Seconds float64 `json:"seconds,omitempty"`
 }
 
@@ -69,17 +69,17 @@
 	Operators string `json:"operators"`
 }
 
-// FullDump is the state with the settings.
+// FullDump is the state of an instance with its settings and addresses.
 type FullDump struct {
 	Settings  any             `json:"settings"`
 	Listening Listening       `json:"listening"`
 	State     descriptor.Dump `json:"state"`
 }
 
-// Operator answers operators.
+// Operator is an HTTP handler for operators.
 type Operator struct{ source Source }
 
-// New returns a handler for operators.
+// New returns a handler that serves the state of s.
 func New(s Source) *Operator { return &Operator{source: s} }
 
 // ServeHTTP implements http.Handler.
@@ -132,7 +132,7 @@
 	writeJSON(w, FullDump{Settings: o.source.Settings(), Listening: o.source.Listening(), State: d})
 }
 
-// StatusOf returns the short form of a dump.
+// StatusOf returns the summary of a dump.
 func StatusOf(d descriptor.Dump) Status {
 	s := Status{
 		Instance:    d.Instance.ID,
@@ -159,13 +159,15 @@
 			Service:  v.Name,
 			Revision: v.Revision,
 			Serving:  served[v.Name],
-			Seconds:  delay(v.Accepted, v.InForce),
+			Seconds:  delaySeconds(v.Accepted, v.InForce),
 		})
 	}
 	return s
 }
 
-func delay(from, to time.Time) float64 {
+// delaySeconds returns the time between from and to in seconds, or 0 if from is zero or
+// later than to.
+func delaySeconds(from, to time.Time) float64 {
 	if from.IsZero() || to.Before(from) {
 		return 0
 	}
