--- a/configurer/callers.go
+++ b/configurer/callers.go
@@ -6,19 +6,19 @@
 	"monsoonswitch/parser"
 )
 
-// Callers says where and how callers are served.
+// Callers configures the listeners for callers.
 type Callers struct {
 	// Listen is the address to listen on.
 	Listen string
-	// Advertise is the address that callers are told; empty means Listen.
+	// Advertise is the address that is advertised to callers; empty means Listen.
 	Advertise string
-	// Questions lists further addresses, at which only questions are answered:
-	// whether the instance is ready, and which addresses to use.
+	// Questions lists additional addresses to listen on. They serve only requests to the
+	// instance itself: whether it is ready, and which addresses to use.
 	Questions []string
-	// Header names the header that tells callers apart; empty means their
-	// address.
+	// Header names the request header that identifies a caller; if it is empty, callers
+	// are identified by their IP address.
 	Header string
-	// Keep is how long callers use an answer to which addresses to use.
+	// Keep is how long callers may cache a list of addresses.
 	Keep time.Duration
 }
 
--- a/configurer/configurer_test.go
+++ b/configurer/configurer_test.go
@@ -18,7 +18,7 @@
 	s, err := Parse("example.ini", []byte(example(t)))
 	asserter.NoError(t, "parse", err)
 	asserter.Equal(t, "name", s.Instance.Name, "entry-1")
-	t.Run("shows every default", func(t *testing.T) {
+	t.Run("holds the default of every key", func(t *testing.T) {
 		least := "[instance]\nname=entry-1\ndomain=worcester\n[callers]\nlisten=127.0.0.1:9100\n" +
 			"[inner]\nlisten=127.0.0.1:9200\nkey=change-this-shared-key\n[platform]\naddress=127.0.0.1:9400\n"
 		defaults, err := Parse("least.ini", []byte(least))
--- a/configurer/inner.go
+++ b/configurer/inner.go
@@ -2,18 +2,19 @@
 
 import "monsoonswitch/parser"
 
-// minKey is the least length of the key in bytes.
-const minKey = 16
+// minKeyBytes is the minimum length of the key in bytes.
+const minKeyBytes = 16
 
-// Inner says how instances talk to each other.
+// Inner configures the links between instances.
 type Inner struct {
 	// Listen is the address to listen on.
 	Listen string
-	// Advertise is the address that instances are told; empty means Listen.
+	// Advertise is the address that is advertised to other instances; empty means
+	// Listen.
 	Advertise string
-	// Key proves that instances belong together. It is a secret.
+	// Key is the shared secret by which instances prove their membership.
 	Key string
-	// Seeds are inner addresses of other instances to try first.
+	// Seeds are the inner addresses of instances to join the fleet through.
 	Seeds []string
 }
 
@@ -24,7 +25,7 @@
 		Key:       s.Required("key"),
 		Seeds:     s.Addresses("seeds"),
 	}
-	if len(all.Inner.Key) < minKey {
-		s.Fail("key", "is shorter than %d characters", minKey)
+	if len(all.Inner.Key) < minKeyBytes {
+		s.Fail("key", "is shorter than %d characters", minKeyBytes)
 	}
 }
--- a/configurer/instance.go
+++ b/configurer/instance.go
@@ -2,9 +2,9 @@
 
 import "monsoonswitch/parser"
 
-// Instance says which instance this is.
+// Instance identifies an instance.
 type Instance struct {
-	// Name is unique among the instances that live at one time.
+	// Name is unique among the running instances.
 	Name string
 	// Domain is the failure domain.
 	Domain string
--- a/configurer/keys_test.go
+++ b/configurer/keys_test.go
@@ -7,7 +7,7 @@
 	"monsoonswitch/asserter"
 )
 
-// TestKeys guards the names of the settings in a dump.
+// TestKeys compares the encoded names of the settings in a dump with a golden file.
 func TestKeys(t *testing.T) {
 	asserter.Keys(t, "testdata/keys.golden", map[string]any{
 		"settings": Settings{},
--- a/configurer/limits.go
+++ b/configurer/limits.go
@@ -6,32 +6,33 @@
 	"monsoonswitch/parser"
 )
 
-// Names of the policies that an instance can run with.
+// Names of the policies of an instance.
 const (
 	PolicyStandard    = "standard"
 	PolicyRoundRobin  = "roundrobin"
 	PolicyConsecutive = "consecutive"
 )
 
-// Limits bounds what callers can take, and chooses the policies.
+// Limits configures the limits on traffic and the policies.
 type Limits struct {
 	// HeadBytes bounds the head of a request in bytes.
 	HeadBytes int
-	// HeadTimeout bounds the time for the head of a request.
+	// HeadTimeout bounds the time for reading the head of a request.
 	HeadTimeout time.Duration
 	// IdleTimeout bounds the time between requests of a connection.
 	IdleTimeout time.Duration
 	// StallTimeout bounds the time without progress of a body.
 	StallTimeout time.Duration
-	// FreshTime is how long an idle connection to a backend server is used again
-	// for work that may not run twice.
+	// FreshTime is how long an idle connection to a backend server is reused for
+	// non-idempotent work.
 	FreshTime time.Duration
-	// ConnectTimeout bounds the making of a connection to a backend server.
+	// ConnectTimeout bounds the time for connecting to a backend server.
 	ConnectTimeout time.Duration
-	// Grace is how long after SIGTERM the platform ends the process; 0 means that
-	// it never does.
+	// Grace is the time after SIGTERM at which the platform kills the process; 0 means
+	// that it never does.
 	Grace time.Duration
-	// Policy is standard, or a baseline for comparison.
+	// Policy is PolicyStandard, or one of the other policies as a baseline for
+	// comparison.
 	Policy string
 }
 
--- a/configurer/log.go
+++ b/configurer/log.go
@@ -2,26 +2,27 @@
 
 import "monsoonswitch/parser"
 
-// Log says what is logged and how.
+// Log configures the log.
 type Log struct {
-	// Level is the least level that is logged.
+	// Level is the lowest level that is logged.
 	Level string
 	// Format is text or json.
 	Format string
-	// Notable is the number of requests a second that are told in full because
-	// they failed, were refused, sent again or slow; Sampled that of others.
+	// Notable is the number of requests per second that are logged because they failed,
+	// were refused, were retried or missed their target. Sampled is the number of other
+	// requests per second.
 	Notable, Sampled float64
 }
 
-// maxTold bounds the requests a second that are told.
-const maxTold = 1e5
+// maxLoggedRate bounds Notable and Sampled, in requests per second.
+const maxLoggedRate = 1e5
 
 func loadLog(s *parser.Section, all *Settings) {
 	all.Log = Log{
 		Level:  s.Choice("level", "info", "debug", "info", "warn", "error"),
 		Format: s.Choice("format", "text", "text", "json"),
 
-		Notable: s.NumberIn("notable", 20, 0, maxTold),
-		Sampled: s.NumberIn("sampled", 0.2, 0, maxTold),
+		Notable: s.NumberIn("notable", 20, 0, maxLoggedRate),
+		Sampled: s.NumberIn("sampled", 0.2, 0, maxLoggedRate),
 	}
 }
--- a/configurer/operators.go
+++ b/configurer/operators.go
@@ -2,9 +2,9 @@
 
 import "monsoonswitch/parser"
 
-// Operators says where operators reach the instance.
+// Operators configures the listener for operators.
 type Operators struct {
-	// Listen is the address to listen on, on loopback unless set otherwise.
+	// Listen is the address to listen on; the default is a loopback address.
 	Listen string
 }
 
--- a/configurer/platform.go
+++ b/configurer/platform.go
@@ -6,26 +6,27 @@
 	"monsoonswitch/parser"
 )
 
-// Platform says where the platform's services are.
+// Platform configures the access to the platform.
 type Platform struct {
-	// Address is that of the key-value service and of the list of instances.
+	// Address is the address of the key-value service and of the list of backend
+	// servers.
 	Address string
-	// Patience is how long a starting instance waits for others before it
-	// reads the configuration from the platform itself.
+	// Patience is how long a starting instance waits for the configuration from other
+	// instances before it reads it from the platform.
 	Patience time.Duration
-	// Source tells who declares the services.
+	// Source is SourceDeclarations or SourceRouting.
 	Source string
-	// Wait is how long one watch of the store waits, and Gap the least time
-	// between two watches of which the first returned changes.
+	// Wait is how long one watch of the store waits for a change. Gap is the delay
+	// between a watch that returned changes and the next watch.
 	Wait, Gap time.Duration
 }
 
-// Sources of the services.
+// Sources of the declarations of services.
 const (
-	// SourceDeclarations stands for declarations that apply writes.
+	// SourceDeclarations means that the subcommand apply writes the declarations.
 	SourceDeclarations = "declarations"
-	// SourceRouting stands for a routing that the platform's operator writes;
-	// callers and backend servers then speak the platform's dialect.
+	// SourceRouting means that the platform's operator writes a routing. Callers and
+	// backend servers then use the platform's dialect.
 	SourceRouting = "routing"
 )
 
--- a/configurer/settings.go
+++ b/configurer/settings.go
@@ -1,5 +1,5 @@
-// Package configurer loads and checks the settings of a process: an INI file
-// with one Go file and one function for each section.
+// Package configurer loads and validates the settings of an instance from an INI file.
+// Each section has one Go file and one loading function.
 package configurer
 
 import (
@@ -13,10 +13,10 @@
 	"monsoonswitch/parser"
 )
 
-// ErrInvalid reports settings that can't be used.
+// ErrInvalid reports invalid settings.
 var ErrInvalid = eris.New("invalid settings")
 
-// Settings are all settings of an entry instance.
+// Settings holds all settings of an entry instance.
 type Settings struct {
 	Instance  Instance
 	Callers   Callers
@@ -28,7 +28,7 @@
 	Retries   Retries
 }
 
-// loaders holds the function of each section.
+// loaders holds the loading function of each section.
 var loaders = map[string]func(*parser.Section, *Settings){
 	"instance":  loadInstance,
 	"callers":   loadCallers,
@@ -40,7 +40,8 @@
 	"retries":   loadRetries,
 }
 
-// Load reads the settings file at path.
+// Load reads the settings file at path. It returns ErrInvalid if the file can't be read or
+// is not valid.
 func Load(path string) (Settings, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -49,7 +50,8 @@
 	return Parse(path, data)
 }
 
-// Parse reads settings; file names the source in errors.
+// Parse parses and validates settings. file is the name of the source in errors. It
+// returns ErrInvalid if the settings are not valid.
 func Parse(file string, data []byte) (Settings, error) {
 	var s Settings
 	f, err := parser.Load(file, data, ErrInvalid)
