--- a/forwarder/attempt.go
+++ b/forwarder/attempt.go
@@ -257,7 +257,6 @@
 	return !b.overflowed
 }
 
-// sourceFailed reports whether reading the caller's body failed.
 // sourceFailed reports whether reading the caller's body failed.
 func (b *callerBody) sourceFailed() bool { return b != nil && b.failed.Load() }
 
--- a/forwarder/forwarder.go
+++ b/forwarder/forwarder.go
@@ -31,7 +31,7 @@
 	// longer while a request is being sent, which leaves it unknown whether the work
 	// ran.
 	nonIdempotentIdleTime = time.Second
-	// idlePerBackend bounds the idle connections to one backend server.
+	// maxIdlePerBackend bounds the number of idle connections to one backend server.
 	maxIdlePerBackend = 8
 	// probeDelay is the delay before a connect probe.
 	probeDelay = 50 * time.Millisecond
--- a/forwarder/header.go
+++ b/forwarder/header.go
@@ -52,8 +52,6 @@
 	}
 }
 
-// connectionHeaders returns the names of the headers that Connection declares as
-// hop-by-hop.
 // connectionHeaders returns the names of the headers that Connection declares as
 // hop-by-hop.
 func connectionHeaders(h http.Header) map[string]bool {
--- a/forwarder/own.go
+++ b/forwarder/own.go
@@ -108,7 +108,6 @@
 	return append(rotate(sameDomain, start), rotate(otherDomains, start)...)
 }
 
-// rotate returns list rotated left by start modulo its length.
 // rotate returns list rotated left by start modulo its length.
 func rotate(list []Address, start uint64) []Address {
 	if len(list) == 0 {
--- a/forwarder/routed_test.go
+++ b/forwarder/routed_test.go
@@ -52,7 +52,6 @@
 	}
 }
 
-// ask sends a request for a path to the host of the routes and returns the status.
 // ask sends a request for a path to the host of the routes and returns the status.
 func (x *fixture) ask(path string) int {
 	r := x.request("GET", path, nil)
--- a/server/server.go
+++ b/server/server.go
@@ -294,7 +294,7 @@
 // platformReporter logs the reachability of the platform and its bad documents.
 type platformReporter struct{ log *logger.Logger }
 
-// Reachable implements storer.Reporter.
+// ReachabilityChanged implements storer.Reporter.
 func (p platformReporter) ReachabilityChanged(source string, ok bool, err error) {
 	if ok {
 		p.log.Event(descriptor.NoteStoreBack, "", source, "")
--- a/storer/storer_test.go
+++ b/storer/storer_test.go
@@ -86,7 +86,7 @@
 // Post implements storer.Poster.
 func (s sink) Post(e descriptor.Event) { s.events <- e }
 
-// Reachable implements storer.Reporter.
+// ReachabilityChanged implements storer.Reporter.
 func (sink) ReachabilityChanged(string, bool, error) {}
 
 // BadDocument implements storer.Reporter.
