--- a/forwarder/forwarder.go
+++ b/forwarder/forwarder.go
@@ -20,7 +20,7 @@
 // Timeouts and limits of connections to backend servers.
 const (
 	// connectTimeout is the default timeout for connecting to a backend server. It
-	// allows a few round trips between regions. Waiting longer does not pay: a lost
+	// allows a few round trips between regions. Waiting longer has no benefit: a lost
 	// packet is retransmitted only after a second, and a request that was not sent yet
 	// can safely go elsewhere.
 	connectTimeout = 250 * time.Millisecond
--- a/operator/operator.go
+++ b/operator/operator.go
@@ -21,7 +21,8 @@
 
 // Source provides the state of the instance.
 type Source interface {
-	// Dump returns a consistent snapshot of the state, and false after shutdown.
+	// Dump returns a consistent snapshot of the state, and false once the instance
+	// has stopped.
 	Dump() (descriptor.Dump, bool)
 	// WriteMetrics writes all metrics in the Prometheus text format.
 	WriteMetrics(io.Writer)
--- a/stopper/stopper.go
+++ b/stopper/stopper.go
@@ -8,8 +8,8 @@
 	"syscall"
 )
 
-// Stopper turns the first signal or call of Ask into a request to shut down. It is safe
-// for use by many goroutines.
+// Stopper holds a request to shut down, which the first signal or call of RequestShutdown
+// makes. It is safe for use by many goroutines.
 type Stopper struct {
 	mu          sync.Mutex
 	requested   chan struct{}
@@ -32,7 +32,7 @@
 		for {
 			select {
 			case v := <-s.signals:
-				s.Ask(v.String())
+				s.RequestShutdown(v.String())
 			case <-s.done:
 				signal.Stop(s.signals)
 				return
@@ -42,8 +42,8 @@
 	return s
 }
 
-// Ask requests a shutdown. Only the first call has an effect.
-func (s *Stopper) Ask(reason string) {
+// RequestShutdown requests a shutdown. Only the first call has an effect.
+func (s *Stopper) RequestShutdown(reason string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.isRequested {
