--- a/descriptor/actions.go
+++ b/descriptor/actions.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// Action is one output of the decisions.
+// Action is one output of the decision state machine.
 type Action interface{ action() }
 
-// RequestAction is an action that the traffic goroutine of a request obeys.
+// RequestAction is an action that the traffic goroutine of a request carries out.
 type RequestAction interface {
 	Action
-	// For returns the request.
+	// For returns the ID of the request that the action belongs to.
 	For() RequestID
 }
 
@@ -19,56 +19,59 @@
 	Backend Backend
 }
 
-// Deliver passes the answer of an attempt to the caller.
+// Deliver forwards the response of an attempt to the caller.
 type Deliver struct {
 	Request RequestID
 	Attempt AttemptID
 }
 
-// Cancel ends an attempt.
+// Cancel aborts an attempt that is still open.
 type Cancel struct {
 	Request RequestID
 	Attempt AttemptID
 }
 
-// Refuse ends a request without an answer from a backend server.
+// Refuse ends a request without a response from a backend server.
 type Refuse struct {
 	Request RequestID
 	Reason  Reason
 	Outcome Outcome
-	// Retry is when sending again may help; zero means not at all.
+	// Retry is the time after which the caller may send the request again; zero
+	// means that a retry does not help.
 	Retry time.Duration
 }
 
-// Probe asks whether a backend server accepts connections.
+// Probe requests a connection check of a backend server. The result comes back
+// as Probed.
 type Probe struct {
 	Service string
 	Backend Backend
-	// Suspected tells that connections to it just broke.
+	// Suspected is set when connections to the backend server have just broken.
 	Suspected bool
 }
 
-// Send passes a message to an instance.
+// Send sends a message to an instance.
 type Send struct {
 	To      Member
 	Message Message
 }
 
-// Connect names the instances to hold links to.
+// Connect lists the instances that links are to be kept open to.
 type Connect struct{ Peers []Member }
 
-// Publish replaces the directory that traffic reads.
+// Publish replaces the directory that the traffic goroutines read.
 type Publish struct{ Directory *Directory }
 
-// Write asks for a compare-and-swap write of a document in the platform's
-// store. Expect is the revision to replace; 0 means none.
+// Write requests a compare-and-swap write of a document to the platform's
+// store. Expect is the revision to replace; 0 means that the key must not exist.
 type Write struct {
 	Write    WriteID
 	Document Document
 	Expect   uint64
 }
 
-// WriteTallies asks for a compare-and-swap write of a service's tallies.
+// WriteTallies requests a compare-and-swap write of a service's tallies. Expect
+// is the revision to replace; 0 means that the key must not exist.
 type WriteTallies struct {
 	Write   WriteID
 	Service string
@@ -77,7 +80,8 @@
 	Expect  uint64
 }
 
-// WriteClaim asks for the creation of a claim on a key in the platform's store.
+// WriteClaim requests the creation of a claim on an idempotency key in the
+// platform's store.
 type WriteClaim struct {
 	Write   WriteID
 	Service string
@@ -87,10 +91,10 @@
 	Incarnation int64
 }
 
-// Watch says whether this instance follows the platform's store.
+// Watch starts or stops the watch of this instance on the platform's store.
 type Watch struct{ Active bool }
 
-// Note reports a numbered event for the log.
+// Note is a numbered log event. docs/EVENTS.md lists the numbers.
 type Note struct {
 	Number  int
 	Service string
@@ -98,7 +102,8 @@
 	Detail  string
 }
 
-// Leave tells that the instance has nothing left to do.
+// Leave reports that the shutdown is complete or its grace period is over, so that
+// the process may exit.
 type Leave struct{}
 
 func (Dispatch) action()     {}
--- a/descriptor/directory.go
+++ b/descriptor/directory.go
@@ -6,51 +6,55 @@
 	"monsoonswitch/declarer"
 )
 
-// Directory is an immutable snapshot of what traffic reads on each request.
+// Directory is an immutable snapshot of the state that the traffic goroutines
+// read for each request.
 type Directory struct {
 	// Services holds each declared service by name.
 	Services map[string]*Entry
-	// Ready tells that the configuration is known.
+	// Ready reports whether the configuration has been loaded.
 	Ready bool
-	// Leaving tells that the instance is shutting down.
+	// Leaving reports whether the instance is shutting down.
 	Leaving bool
-	// Routes finds services by host and path, and is nil unless a routing
-	// declares the services.
+	// Routes finds services by host and path. It is nil unless the services are
+	// declared by a routing.
 	Routes *declarer.Map `json:",omitempty"`
-	// Settled tells that the members known are about all there are, so that
-	// callers can be told which instances to use.
+	// Settled reports whether the instance has been a member long enough to know
+	// nearly all others, so that it can assign instances to callers.
 	Settled bool `json:",omitempty"`
-	// Callers lists the instances that callers are sent to under a routing.
+	// Callers lists the instances assigned to callers under a routing.
 	Callers []Member `json:",omitempty"`
-	// Current is the time as of which nothing newer was in the platform's store.
+	// Current is the latest time at which the platform's store is known to have
+	// held nothing newer than this snapshot.
 	Current time.Time `json:",omitzero"`
 }
 
-// leastNear is the number of instances in a failure domain from which on the
-// callers there are sent to these alone.
-const leastNear = 2
+// minLocalInstances is the number of instances that a failure domain must have
+// before its callers are assigned to these instances only.
+const minLocalInstances = 2
 
-// CallersNear returns the instances that the callers of a failure domain are sent
-// to: those in it, or all if it has too few.
+// CallersNear returns the instances for the callers of a failure domain: those in
+// the same failure domain, or all instances if it has fewer than
+// minLocalInstances.
 func (d *Directory) CallersNear(domain string) []Member {
-	var near []Member
+	var local []Member
 	for _, m := range d.Callers {
 		if m.Domain == domain {
-			near = append(near, m)
+			local = append(local, m)
 		}
 	}
-	if len(near) < leastNear {
+	if len(local) < minLocalInstances {
 		return d.Callers
 	}
-	return near
+	return local
 }
 
-// Entry is what traffic knows of a service.
+// Entry is the part of the directory that describes one service.
 type Entry struct {
 	Service  declarer.Service
 	Revision uint64
-	// Serving lists the instances that serve it, nearest failure domain first.
+	// Serving lists the instances that serve the service. Those in the local
+	// failure domain come first.
 	Serving []Member
-	// Here tells that this instance serves it.
+	// Here reports whether this instance serves the service.
 	Here bool
 }
--- a/descriptor/dump.go
+++ b/descriptor/dump.go
@@ -19,29 +19,34 @@
 	Notes     []Note
 }
 
-// DeclaredDump tells which revision of a declaration is in force.
+// DeclaredDump describes the revision of a service declaration that is in force.
 type DeclaredDump struct {
 	Name     string
 	Revision uint64
-	// Accepted is when the store accepted the revision, and InForce when it
-	// came into force here.
+	// Accepted is the time at which the store accepted the revision; InForce is
+	// the time at which it came into force at this instance.
 	Accepted, InForce time.Time
 }
 
-// ServiceDump is the state of a served service.
+// ServiceDump is the state of a service that the instance serves.
 type ServiceDump struct {
-	Name      string
-	Revision  uint64
-	State     string
+	Name     string
+	Revision uint64
+	State    string
+	// Floor is the number of backend servers that ejection must leave, and Live
+	// the number of listed backend servers.
 	Floor     int
 	Live      int
 	Serving   []string
 	Classes   []ClassDump
 	Backends  []BackendDump
 	Ejections []Ejection
-	// Refused tells why convicted backend servers are not ejected.
+	// Refused is the reason why backend servers over the ejection threshold are
+	// not ejected, or empty.
 	Refused string
-	Budget  float64
+	// Budget is the number of retries that may be sent now.
+	Budget float64
+	// Suspect is the number of request fingerprints with reported crashes.
 	Suspect int
 	Tally   Tally
 }
@@ -51,27 +56,39 @@
 	Name     string
 	Queued   int
 	InFlight int
-	Limit    int
-	Median   time.Duration
-	Tail     time.Duration
+	// Limit is the number of slots that the class may use at once.
+	Limit int
+	// Median and Tail are the 50th and 99th percentile of the latency.
+	Median time.Duration
+	Tail   time.Duration
 }
 
-// BackendDump is the state of one backend server as an instance sees it.
+// BackendDump is the state of one backend server in the view of one instance.
 type BackendDump struct {
-	ID       string
-	Address  string
-	Share    int
+	ID      string
+	Address string
+	// Share is the number of slots that the instance owns.
+	Share int
+	// Borrowed counts the slots leased from other owners, and Lent those leased
+	// out to them.
 	Borrowed int
 	Lent     int
 	InFlight int
-	Long     int
-	State    string
-	Local    float64
-	Fleet    float64
-	Avoided  bool
+	// Long counts the open requests of long classes.
+	Long  int
+	State string
+	// Local is the score from the instance's own evidence, and Fleet that from
+	// the evidence of all instances. Both are log-likelihood ratios; larger is
+	// worse.
+	Local float64
+	Fleet float64
+	// Avoided reports whether the instance prefers other backend servers,
+	// without an ejection.
+	Avoided bool
 }
 
-// KeyDump is the state of the idempotency keys.
+// KeyDump counts the idempotency keys of an instance: keys held, requests that
+// wait for a claim, and keys dropped to bound memory.
 type KeyDump struct {
 	Held    int
 	Parked  int
--- a/descriptor/enums.go
+++ b/descriptor/enums.go
@@ -1,18 +1,21 @@
-// Package descriptor describes what goes into and comes out of the decisions of
-// an entry instance: events, actions, and the messages between instances.
+// Package descriptor defines the inputs and outputs of the decision state machine
+// of an entry instance: events, actions, and the messages between instances.
 package descriptor
 
-// Outcome tells what is known of whether work ran on a backend server.
+// Outcome states whether the work of a request ran on a backend server.
 type Outcome int
 
 // Outcomes of a request.
 const (
+	// NotRun means that the work certainly did not run.
 	NotRun Outcome = iota
+	// MayHaveRun means that the work was sent and its result is unknown.
 	MayHaveRun
+	// Ran means that the work ran.
 	Ran
 )
 
-// String returns the outcome as callers read it.
+// String returns the name used in responses to callers and in reports.
 func (o Outcome) String() string {
 	switch o {
 	case NotRun:
@@ -23,10 +26,10 @@
 	return "ran"
 }
 
-// Reason tells why a request ended as it did.
+// Reason states why a request ended.
 type Reason int
 
-// Reasons of the end of a request. Served is the only one that is no refusal.
+// Reasons for the end of a request. Every reason but Served is a refusal.
 const (
 	Served Reason = iota
 	UnknownService
@@ -76,7 +79,7 @@
 	Unsupported:      "unsupported",
 }
 
-// String returns the reason as callers and reports read it.
+// String returns the name used in responses to callers and in reports.
 func (r Reason) String() string {
 	if r < 0 || r >= reasonCount {
 		return "unknown"
@@ -84,7 +87,7 @@
 	return reasonNames[r]
 }
 
-// Reasons returns every reason in order.
+// Reasons returns all reasons in ascending order.
 func Reasons() []Reason {
 	result := make([]Reason, reasonCount)
 	for i := range result {
@@ -93,25 +96,27 @@
 	return result
 }
 
-// Fault is how an attempt at a backend server failed.
+// Fault classifies the failure of an attempt at a backend server.
 type Fault int
 
 // Faults of an attempt.
 const (
-	// FaultConnect means that no connection was made: nothing was sent.
+	// FaultConnect means that no connection was established and nothing was sent.
 	FaultConnect Fault = iota
-	// FaultShed means that the backend server itself declared the work not run.
+	// FaultShed means that the backend server refused the work and declared that
+	// it did not run.
 	FaultShed
-	// FaultBroken means that the connection broke before an answer began.
+	// FaultBroken means that the connection broke before the response began.
 	FaultBroken
-	// FaultCut means that the answer broke off.
+	// FaultCut means that the response was truncated.
 	FaultCut
-	// FaultSource means that the caller's body could not be read to its end.
+	// FaultSource means that the body of the caller's request could not be read
+	// completely.
 	FaultSource
-	// FaultStatus means an answer with a 5xx status.
+	// FaultStatus means that the response had a 5xx status.
 	FaultStatus
-	// FaultForeign means that another backend server has the address and did not
-	// run the work.
+	// FaultForeign means that a different backend server answered at the address
+	// and did not run the work.
 	FaultForeign
 )
 
@@ -124,7 +129,7 @@
 	return names[f]
 }
 
-// Health is what a backend server says of itself in its answers.
+// Health is the state that a backend server reports in its responses.
 type Health int
 
 // Health values of a backend server.
@@ -135,7 +140,7 @@
 	HealthDraining
 )
 
-// String returns the name used in answer headers.
+// String returns the name used in response headers.
 func (h Health) String() string {
 	names := [...]string{"unknown", "ready", "cold", "draining"}
 	if h < 0 || int(h) >= len(names) {
@@ -144,7 +149,8 @@
 	return names[h]
 }
 
-// ParseHealth returns the health with the given name, or HealthUnknown.
+// ParseHealth returns the health with the given name, or HealthUnknown if there
+// is none.
 func ParseHealth(name string) Health {
 	for h := HealthReady; h <= HealthDraining; h++ {
 		if h.String() == name {
@@ -154,10 +160,10 @@
 	return HealthUnknown
 }
 
-// Liveness is what instances agree on about an instance.
+// Liveness is the membership state of an instance that the fleet agrees on.
 type Liveness int
 
-// Liveness values; of two records with equal versions the larger one wins.
+// Liveness values. Of two records with equal versions the larger value wins.
 const (
 	Alive Liveness = iota
 	Suspect
--- a/descriptor/events.go
+++ b/descriptor/events.go
@@ -2,44 +2,44 @@
 
 import "time"
 
-// Event is one input of the decisions.
+// Event is one input of the decision state machine.
 type Event interface {
-	// When returns the present time at the event.
+	// When returns the time of the event.
 	When() time.Time
 }
 
-// Arrived is a request from a caller.
+// Arrived reports a new request from a caller.
 type Arrived struct {
 	At      time.Time
 	Request RequestID
 	Service string
 	Class   string
-	// Caller separates callers for fair shares.
+	// Caller identifies the caller for fair queueing.
 	Caller string
-	// Key is the idempotency key or empty.
+	// Key is the idempotency key, or empty.
 	Key string
-	// Fingerprint is equal for requests that would do the same work.
+	// Fingerprint is a hash that is equal for requests for the same work.
 	Fingerprint uint64
-	// Replayable tells that the request can be sent more than once.
+	// Replayable reports whether the request can be sent more than once.
 	Replayable bool
-	// Body tells that the request has a body.
+	// Body reports whether the request has a body.
 	Body bool
-	// Size is the number of bytes of the body, or negative if it is not known.
+	// Size is the length of the body in bytes, or negative if it is unknown.
 	Size int64 `json:",omitempty"`
-	// Deadline is when the caller stops waiting; zero means none.
+	// Deadline is the time at which the caller stops waiting; zero means none.
 	Deadline time.Time
-	// Label is the caller's own identifier of the request, for logs.
+	// Label is the caller's own identifier of the request, used in logs.
 	Label string `json:",omitempty"`
 }
 
-// Sent tells that the whole body of a request went to the backend server.
+// Sent reports that the whole body of a request was sent to the backend server.
 type Sent struct {
 	At      time.Time
 	Request RequestID
 	Attempt AttemptID
 }
 
-// Answered tells that the head of a backend server's answer came.
+// Answered reports that the header of a backend server's response arrived.
 type Answered struct {
 	At      time.Time
 	Request RequestID
@@ -49,7 +49,8 @@
 	Load    Load `json:",omitzero"`
 }
 
-// Finished tells that the whole answer went to the caller.
+// Finished reports that the whole response was sent to the caller. Bytes is the
+// length of the response body.
 type Finished struct {
 	At      time.Time
 	Request RequestID
@@ -57,99 +58,106 @@
 	Bytes   uint64
 }
 
-// Failed tells that an attempt ended without a whole answer.
+// Failed reports that an attempt ended without a complete response.
 type Failed struct {
 	At      time.Time
 	Request RequestID
 	Attempt AttemptID
 	Fault   Fault
 	Health  Health
-	// Untouched tells that the caller's body can be sent again from its start.
+	// Untouched reports whether the body of the caller's request can be sent
+	// again from its start.
 	Untouched bool
-	// Load is what the backend server said of its load, for FaultShed.
+	// Load is the load that the backend server reported, for FaultShed.
 	Load Load `json:",omitzero"`
 }
 
-// Probed is the result of a connection made to a backend server for Probe.
+// Probed reports the result of the connection check requested by Probe.
 type Probed struct {
 	At      time.Time
 	Service string
 	Backend string
-	// Suspected is that of the probe.
+	// Suspected is copied from the Probe action.
 	Suspected bool
-	// Alive tells that it accepted the connection.
+	// Alive reports whether the backend server accepted the connection.
 	Alive bool
 }
 
-// Gone tells that the caller went away before the whole answer.
+// Gone reports that the caller disconnected before the response was complete.
 type Gone struct {
 	At      time.Time
 	Request RequestID
 }
 
-// Ticked drives everything that depends on time alone.
+// Ticked is the periodic timer event.
 type Ticked struct{ At time.Time }
 
-// Received is a message from another instance.
+// Received reports a message from another instance.
 type Received struct {
 	At      time.Time
 	From    string
 	Message Message
 }
 
-// LinkOpened tells that a link to an instance stands.
+// LinkOpened reports that a link to an instance is open.
 type LinkOpened struct {
 	At   time.Time
 	Peer Member
 }
 
-// LinkClosed tells that the last link to an instance is gone.
+// LinkClosed reports that the last link to an instance is closed.
 type LinkClosed struct {
 	At   time.Time
 	Peer string
 }
 
-// Learned is a document read from the platform.
+// Learned reports documents read from the platform's store.
 type Learned struct {
 	At        time.Time
 	Documents []Document
-	// Complete tells that Documents is everything the platform has of Kind.
+	// Complete reports whether Documents holds all documents of Kind in the
+	// store.
 	Complete bool
 	Kind     Kind
-	// AsOf is the time as of which nothing newer of Kind was there, and Revision
-	// the revision of the store then.
+	// AsOf is the time at which the store held nothing newer of Kind, and
+	// Revision is the store's revision at that time.
 	AsOf     time.Time `json:",omitzero"`
 	Revision uint64    `json:",omitzero"`
 }
 
-// Written is the result of a write to the platform's store.
+// Written reports the result of a write to the platform's store.
 type Written struct {
 	At    time.Time
 	Write WriteID
-	// Result tells how the write ended.
+	// Result is the result of the write.
 	Result WriteResult
 	// Revision is the new revision of an accepted write.
 	Revision uint64
-	// Current is the document found in place of the expected one.
+	// Current is the document found instead of the expected one, for
+	// WriteConflict.
 	Current Document
-	// Tallies is the tally value found in place of the expected one.
+	// Tallies holds the tallies found instead of the expected ones, for
+	// WriteConflict.
 	Tallies []Tally
 }
 
-// Quit asks the instance to leave.
+// Quit reports that a shutdown of the instance was requested.
 type Quit struct{ At time.Time }
 
-// WriteID identifies a write of one incarnation.
+// WriteID identifies a write within one incarnation of an instance.
 type WriteID uint64
 
-// WriteResult tells how a write ended.
+// WriteResult is the result of a write to the platform's store.
 type WriteResult int
 
 // Results of writes.
 const (
 	WriteAccepted WriteResult = iota
+	// WriteConflict means that the store held another revision than expected.
 	WriteConflict
+	// WriteUnavailable means that the write did not reach the store.
 	WriteUnavailable
+	// WriteUnknown means that the reply was lost and the write may have happened.
 	WriteUnknown
 )
 
--- a/descriptor/messages.go
+++ b/descriptor/messages.go
@@ -4,14 +4,14 @@
 
 // Message is one message between instances.
 type Message interface {
-	// Type returns the number of the message in the inner protocol.
+	// Type returns the number of the message in the protocol between instances.
 	Type() MessageType
 }
 
-// MessageType numbers the messages of the inner protocol.
+// MessageType numbers the messages of the protocol between instances.
 type MessageType int
 
-// Message types. Numbers are never used again.
+// Message types. The number of a removed type is not reused.
 const (
 	TypeHello MessageType = iota + 1
 	TypeHeartbeat
@@ -36,183 +36,191 @@
 	TypeBulletin
 )
 
-// Hello opens a link in both directions.
+// Hello is the first message on a link in each direction.
 type Hello struct {
 	Protocol int
 	From     Member
 }
 
-// Heartbeat shows that its sender lives.
+// Heartbeat shows that its sender is alive.
 type Heartbeat struct{ Sequence uint64 }
 
-// Members spreads member records.
+// Members carries member records.
 type Members struct {
 	Records []Member
-	// Buckets is the set of buckets of which Records holds every record; the
-	// receiver answers with what is missing there.
+	// Buckets is the set of digest buckets for which Records is complete. The
+	// receiver answers with the records of these buckets that are missing or
+	// outdated.
 	Buckets uint64
 }
 
-// Digest sums up what its sender holds.
+// Digest carries hash sums of the members and documents that its sender holds.
 type Digest struct {
 	Members   container.Sums
 	Documents container.Sums
-	// Urgent asks for what differs at once.
+	// Urgent asks the receiver to send differing documents immediately.
 	Urgent bool
 }
 
-// Pulse tells that nothing newer than the documents with a sum was in the
-// platform's store a while ago. It goes down a tree of all instances.
+// Pulse is a freshness announcement: Age milliseconds ago, the platform's store
+// held nothing newer than the documents with the hash sum Sum. It is forwarded
+// along a tree of all instances.
 type Pulse struct {
-	// Origin and Incarnation identify the instance that follows the store.
+	// Origin and Incarnation identify the instance that watches the store.
 	Origin      string
 	Incarnation int64
-	// Sequence grows with each pulse of an incarnation.
+	// Sequence grows with each freshness announcement of an incarnation.
 	Sequence uint64
-	// Sum is that of all documents.
+	// Sum is the hash sum of all documents.
 	Sum uint64
-	// Age is how long ago it was, in milliseconds at the time of sending.
+	// Age is the time since the store was read, in milliseconds, when the message
+	// is sent.
 	Age int64
 }
 
-// Outcomes tells how the last requests at backend servers ended.
+// Outcomes reports how the latest requests at the backend servers of a service
+// ended.
 type Outcomes struct {
 	Service string
 	List    []BackendOutcomes
-	// Relay asks the receiver to tell the other instances that share the slots.
+	// Relay asks the receiver to forward the outcomes to the other slot owners.
 	Relay bool `cbor:",omitempty"`
-	// Unserved counts the requests that ended at the sender without an answer since
-	// its last message.
+	// Unserved counts the requests that ended at the sender without a response
+	// since its last message.
 	Unserved int `cbor:",omitempty"`
 }
 
 // BackendOutcomes counts how requests at one backend server ended since the last
-// message, in order: those that went well before the first failure, the failures
-// and those that went well after it.
+// message. Before counts the successes before the first failure, Bad the
+// failures, and After the successes after the last failure.
 type BackendOutcomes struct {
 	Backend            string
 	Before, Bad, After int
-	// Late counts the requests that ran far longer than usual.
+	// Late counts the requests that ran longer than a multiple of the typical
+	// service time.
 	Late int `cbor:",omitempty"`
-	// Reported tells that the backend server said Age milliseconds ago how much Work
-	// of all instances it had.
+	// Reported is set when the backend server reported its load Age milliseconds
+	// ago. Work is the number of requests of all instances that it had then.
 	Reported bool `cbor:",omitempty"`
 	Work     int  `cbor:",omitempty"`
 	Age      int  `cbor:",omitempty"`
 }
 
-// References lists the documents that its sender holds in a set of buckets; the
-// receiver answers with what is missing there.
+// References lists the documents that its sender holds in the digest buckets
+// Buckets. The receiver answers with the documents of these buckets that are
+// missing or outdated.
 type References struct {
 	List    []Reference
 	Buckets uint64
 }
 
-// Documents spreads documents.
+// Documents carries replicated documents.
 type Documents struct{ List []Document }
 
-// Refresh asks for the newest documents with the given references from a
-// receiver that holds them.
+// Refresh asks the receiver for its newest revisions of the referenced documents.
 type Refresh struct{ List []Reference }
 
-// Evidence gives its sender's scores of a service's backend servers.
+// Evidence carries its sender's scores of a service's backend servers.
 type Evidence struct {
 	Service string
 	Scores  []Score
 }
 
-// Claim asks the instance that issued a key for the right to run it.
+// Claim asks the issuer of an idempotency key for permission to run its request.
 type Claim struct {
 	Service string
 	Key     string
 	Request RequestID
 }
 
-// Verdict answers a claim. A claim that is not granted carries what is known
-// of the earlier run.
+// Verdict answers a claim. If the claim is not granted, Reason and Outcome
+// describe the earlier run.
 type Verdict struct {
 	Request RequestID
-	// Key is the claimed key with its service, as Settle names it.
+	// Key is the claimed key prefixed with its service, as in Settle.
 	Key     string
 	Granted bool
 	Reason  Reason
 	Outcome Outcome
 }
 
-// Settle tells the issuer of a key how a granted run ended.
+// Settle reports to the issuer of a key how a granted run ended.
 type Settle struct {
 	Key     string
 	Outcome Outcome
 }
 
-// KeyRecord is what an issuer knows of one key.
+// KeyRecord is the state of one idempotency key at its issuer.
 type KeyRecord struct {
 	Key string
-	// State is the state of the key as a number private to package keeper.
-	State  int
+	// State is a number defined by package keeper.
+	State int
+	// Holder is the instance that was granted the key.
 	Holder string
 }
 
-// Inherit passes the keys of an instance that leaves to its heir.
+// Inherit hands over the idempotency keys of a leaving instance to its successor.
 type Inherit struct {
 	Instance    string
 	Incarnation int64
-	// Floor is the newest epoch whose keys may have been forgotten.
+	// Floor is the newest epoch with keys that may have been dropped.
 	Floor uint64
 	Keys  []KeyRecord
-	// Last marks the part after which the heir decides about the keys, if it
-	// received Total of them.
+	// Last marks the last part of the handover. After it the successor decides
+	// about the keys, provided that it received Total of them.
 	Last  bool
 	Total int
 }
 
-// Crash reports a request after whose dispatch a backend server broke down.
+// Crash reports that a backend server crashed after a request was sent to it.
 type Crash struct {
 	Service     string
 	Fingerprint uint64
-	// Backend is the backend server that broke down.
+	// Backend is the backend server that crashed.
 	Backend string
-	// Cleared takes earlier reports back: the request was answered.
+	// Cleared withdraws earlier reports, because the request was answered.
 	Cleared bool
 }
 
-// Demand says how many slots its sender could use at once beyond its share.
+// Demand reports how many slots beyond its share its sender could use now.
 type Demand struct {
 	Service string
 	Slots   int
 }
 
-// Loan lends slots of one backend server for a bounded time.
+// Loan is a slot lease: it leases out slots of one backend server for a bounded
+// time.
 type Loan struct {
 	Service string
 	Backend string
 	Slots   int
-	// Millis is how long the borrower may start work on them, in milliseconds
-	// from its receipt of the loan.
+	// Millis is the time during which the receiver may start work on the slots,
+	// in milliseconds from the receipt of the message.
 	Millis int64
 }
 
-// Drain says that a backend server announced its leaving in an answer.
+// Drain reports that a backend server announced in a response that it is draining.
 type Drain struct {
 	Service string
 	Backend string
 }
 
-// TallyReport carries a tally to a tally writer.
+// TallyReport carries a tally to the instance that writes it to the store.
 type TallyReport struct{ Tally Tally }
 
-// Receipt confirms that a tally reached the platform's store.
+// Receipt confirms that a tally was written to the platform's store.
 type Receipt struct {
 	Service     string
 	Incarnation int64
 	Version     uint64
 }
 
-// WithOutcome returns o with one request more.
+// WithOutcome returns o with one more request counted.
 func (o BackendOutcomes) WithOutcome(failed bool) BackendOutcomes {
 	switch {
 	case failed:
-		// What went well between failures does not weigh against them.
+		// Successes between two failures are not counted, because they must not
+		// offset the failures.
 		o.Bad++
 		o.After = 0
 	case o.Bad > 0:
@@ -223,7 +231,7 @@
 	return o
 }
 
-// WithOutcomes returns o with the outcomes of p after its own.
+// WithOutcomes returns o with the outcomes of p, which happened later, added.
 func (o BackendOutcomes) WithOutcomes(p BackendOutcomes) BackendOutcomes {
 	o.Late += p.Late
 	switch {
@@ -283,8 +291,8 @@
 // Type implements Message.
 func (Outcomes) Type() MessageType { return TypeOutcomes }
 
-// Bulletin tells which backend servers the instances that share the slots have in
-// doubt. It goes down a tree of all instances.
+// Bulletin is a suspicion list: the backend servers of a service that the slot
+// owners suspect to be gray. It is forwarded along a tree of all instances.
 type Bulletin struct {
 	// Origin, Incarnation and Sequence are as in Pulse.
 	Origin      string
@@ -294,7 +302,7 @@
 	List        []Doubt
 }
 
-// Doubt is the probability that a backend server is gray.
+// Doubt is a suspicion: the estimated probability that a backend server is gray.
 type Doubt struct {
 	Backend string
 	Gray    float32
--- a/descriptor/notes.go
+++ b/descriptor/notes.go
@@ -1,6 +1,6 @@
 package descriptor
 
-// Numbers of log events. docs/EVENTS.md is their catalogue.
+// Numbers of log events. docs/EVENTS.md describes each of them.
 const (
 	NoteStarted       = 1001
 	NoteReady         = 1002
--- a/descriptor/trace.go
+++ b/descriptor/trace.go
@@ -2,64 +2,68 @@
 
 import "time"
 
-// Trace is one decision about a request with the inputs that decided it.
+// Trace is one entry of a request trace: a decision and the inputs it is based on.
 type Trace struct {
-	At      time.Time
+	At time.Time
+	// Number is the number of the log event.
 	Number  int
 	Request RequestID
 	Attempt AttemptID
 	// Backend is the backend server concerned, or empty.
 	Backend string
-	// Trust and Load are what was believed of it: the probability that it does
-	// not fail the work, and its requests per slot.
+	// Trust is the estimated probability that the backend server serves the
+	// request, and Load its estimated number of requests per slot.
 	Trust, Load float64
-	// Queued and InFlight count the requests of the service here.
+	// Queued and InFlight count the requests of the service at this instance.
 	Queued, InFlight int
-	// Left is the time that was left, or zero.
+	// Left is the time left until the deadline, or zero.
 	Left time.Duration
-	// Status is the status of an answer, or zero.
+	// Status is the HTTP status of a response, or zero.
 	Status int
-	// Cause is a word or two on the reason, or empty.
+	// Cause is the reason of the decision in one or two words, or empty.
 	Cause string
 }
 
-// Trail is what was decided about a request that ended.
+// Trail is the request trace of a request that ended: all decisions about it.
 type Trail struct {
-	// At is when the request ended.
+	// At is the time at which the request ended.
 	At      time.Time
 	Request RequestID
-	// Label is the caller's own identifier.
+	// Label is the caller's own identifier of the request.
 	Label          string
 	Service, Class string
-	// Revision is that of the declaration in force, and Listed that of the list
-	// of backend servers.
+	// Revision is the revision of the declaration in force, and Listed that of
+	// the list of backend servers.
 	Revision, Listed uint64
-	// Current is how old the newest confirmation of both was.
+	// Current is the time since both revisions were last confirmed to be the
+	// newest.
 	Current time.Duration
 	Reason  Reason
 	Outcome Outcome
 	Latency time.Duration
-	Target  time.Duration
-	// Lines are in the order of the decisions.
+	// Target is the target latency of the class.
+	Target time.Duration
+	// Lines holds the entries in the order of the decisions.
 	Lines []Trace
 }
 
-// Notable tells whether a trail is of use by itself: its request failed, was
-// refused, sent again or slow.
+// Notable reports whether the request failed, was refused, was retried, or took
+// longer than its target.
 func (t Trail) Notable() bool {
 	if t.Reason != Served || t.Latency > t.Target {
 		return true
 	}
 	for _, l := range t.Lines {
-		if l.Attempt > 1 || l.Status >= failureStatus {
+		if l.Attempt > 1 || l.Status >= minFailureStatus {
 			return true
 		}
 	}
 	return false
 }
 
-// failureStatus is the least HTTP status of a failure of a backend server.
-const failureStatus = 500
+// minFailureStatus is the lowest HTTP status that counts as a failure of a backend
+// server.
+const minFailureStatus = 500
 
 func (Trace) action() {}
 func (Trail) action() {}
--- a/descriptor/values.go
+++ b/descriptor/values.go
@@ -14,54 +14,60 @@
 
 // Backend is one backend server as the platform lists it.
 type Backend struct {
-	// ID is unique within the service and is not used again.
+	// ID is unique within the service and is not reused.
 	ID string
-	// Name is how the backend server calls itself; empty means ID. It may come
-	// back with another incarnation, which has another ID.
+	// Name is the name that the backend server reports for itself; empty means
+	// that it equals ID. A later incarnation may have the same name under
+	// another ID.
 	Name string `json:",omitempty" cbor:",omitempty"`
 	// Address is host:port.
 	Address string
 	// Domain is the failure domain.
 	Domain string
-	// Slots is the number of requests it runs at a time; it is positive.
+	// Slots is the number of requests that the backend server runs at once; it
+	// is positive.
 	Slots int
-	// Leaving tells that it must get no new work.
+	// Leaving reports whether the backend server is draining and must get no new
+	// work.
 	Leaving bool
 }
 
-// Load is what a backend server says of its load.
+// Load is the load that a backend server reports in a response.
 type Load struct {
-	// Known tells that it said anything.
+	// Known reports whether the response carried a load.
 	Known bool
-	// Running counts the requests that hold a slot, Waiting those that wait for
-	// one.
+	// Running counts the requests that hold a slot, and Waiting those that wait
+	// for one.
 	Running, Waiting int
 	// Slots is the number of slots.
 	Slots int
 }
 
-// Member is one entry instance and what is agreed on about it.
+// Member is the membership record of one entry instance.
 type Member struct {
-	// Records go around a lot, so their encoding names no fields.
+	// Records are sent often, so they are encoded as arrays without field names.
 	_ struct{} `cbor:",toarray"`
-	// ID is unique among the instances that live at one time.
+	// ID is unique among the instances that run at the same time.
 	ID string
 	// Incarnation grows with each start of the instance.
 	Incarnation int64
 	// Version grows with each change that the instance itself makes to its
 	// record within an incarnation.
 	Version int64
-	// Public, Inner are host:port for callers and for instances.
+	// Public and Inner are the host:port addresses for callers and for other
+	// instances.
 	Public, Inner string
 	// Domain is the failure domain.
 	Domain string
-	// State is the liveness agreed on.
+	// State is the liveness that the fleet agrees on.
 	State Liveness
-	// Accusers are up to MaxAccusers distinct instances that can't hear it.
+	// Accusers lists up to MaxAccusers distinct instances that receive no
+	// messages from the member.
 	Accusers []string
-	// Ready tells that it serves callers.
+	// Ready reports whether the member serves callers.
 	Ready bool
-	// Heir is the instance that took over the keys of one that left.
+	// Heir is the successor: the instance that took over the idempotency keys of
+	// a member that left.
 	Heir string
 }
 
@@ -81,19 +87,19 @@
 	return m
 }
 
-// WithHeir returns m with an heir of its keys.
+// WithHeir returns m with the successor for its idempotency keys set to id.
 func (m Member) WithHeir(id string) Member {
 	m.Heir = id
 	return m
 }
 
-// WithReady returns m with its readiness set.
+// WithReady returns m with Ready set.
 func (m Member) WithReady(ready bool) Member {
 	m.Ready = ready
 	return m
 }
 
-// Newer tells whether m replaces o as a record of the same instance.
+// Newer reports whether m supersedes o as a record of the same instance.
 func (m Member) Newer(o Member) bool {
 	if m.Incarnation != o.Incarnation {
 		return m.Incarnation > o.Incarnation
@@ -104,7 +110,7 @@
 	return m.State > o.State
 }
 
-// Kind tells what a document holds.
+// Kind is the type of content of a document.
 type Kind int
 
 // Kinds of documents.
@@ -115,7 +121,7 @@
 	KindRouting
 )
 
-// String returns the prefix of the kind in the platform's store.
+// String returns the name used for the kind in the platform's store.
 func (k Kind) String() string {
 	names := [...]string{"service", "backends", "eject", "routing"}
 	if k < 0 || int(k) >= len(names) {
@@ -124,25 +130,25 @@
 	return names[k]
 }
 
-// Ejection is one backend server that instances agreed to give no work.
+// Ejection records that the fleet sends no work to a backend server.
 type Ejection struct {
 	// Backend is the ID of the backend server.
 	Backend string
-	// By is the instance that convicted it.
+	// By is the instance that decided the ejection.
 	By string
-	// Since and Until bound the hold-off; trial work starts at Until.
+	// Since and Until bound the ejection; trial requests start at Until.
 	Since, Until time.Time
-	// Strikes counts the ejections in a row, from 1.
+	// Strikes counts consecutive ejections of the backend server, from 1.
 	Strikes int
 }
 
-// Document is one replicated value. Documents of one kind and name are ordered
-// by Revision; the largest one is in force.
+// Document is one replicated value. Of the documents of one kind and name, the
+// one with the largest Revision is in force.
 type Document struct {
 	Kind     Kind
 	Name     string
 	Revision uint64
-	// At is the time at which the store accepted the revision, for Service.
+	// At is the time at which the store accepted the revision, for KindService.
 	At time.Time
 	// Service is set for KindService.
 	Service *declarer.Service `cbor:",omitempty"`
@@ -154,7 +160,7 @@
 	Routing *declarer.Routing `json:",omitempty" cbor:",omitempty"`
 }
 
-// Reference names a revision of a document.
+// Reference identifies a revision of a document.
 type Reference struct {
 	Kind     Kind
 	Name     string
@@ -164,69 +170,71 @@
 // Score is one instance's evidence about one backend server.
 type Score struct {
 	Backend string
-	// Value is a log-likelihood ratio; larger is worse.
+	// Value is the log-likelihood ratio of gray to healthy; larger is worse.
 	Value float64
-	// Recent counts the recent observations behind it.
+	// Recent counts the recent observations that Value is based on.
 	Recent int
 }
 
-// Count is a monotonic tally of one instance incarnation.
+// Count is a monotonic counter of one incarnation of an instance. It counts the
+// requests of a class that ended with a reason and an outcome.
 type Count struct {
 	Class   string
 	Reason  Reason
 	Outcome Outcome
-	// Requests, Bytes only grow.
+	// Requests and Bytes never decrease.
 	Requests uint64
 	Bytes    uint64
 }
 
-// Tally holds the counts of one service at one instance incarnation.
+// Tally holds the counts of one service at one incarnation of an instance.
 type Tally struct {
 	Service     string
 	Instance    string
 	Incarnation int64
-	// Version grows with each change; the largest one holds.
+	// Version grows with each change; the largest one is valid.
 	Version uint64
 	// Received counts the requests that arrived.
 	Received uint64
-	// Open counts the requests not yet ended.
+	// Open counts the requests that have not ended.
 	Open uint64
-	// Final is set on the last flush of an incarnation that shut down.
+	// Final is set on the last tally of an incarnation that shut down.
 	Final bool
-	// Since and At bound the time the counts cover.
+	// Since and At bound the time that the counts cover.
 	Since, At time.Time
-	// Every is the longest time between two writes of the service's tallies.
+	// Every is the maximum time between two writes of the service's tallies.
 	Every  time.Duration
 	Counts []Count
-	// Latency holds the numbers of served requests by latency bucket; see
+	// Latency holds the number of served requests in each latency bucket; see
 	// BucketBound.
 	Latency []uint64
 	// Ejections counts the backend servers that the instance ejected.
 	Ejections uint64
 	// Revisions lists the declaration revisions in force at the instance.
 	Revisions []InForce
-	// Folded lists the incarnations that a folded tally stands for.
+	// Folded lists the incarnations that are summed up in a folded tally.
 	Folded []string `json:",omitempty" cbor:",omitempty"`
 }
 
-// InForce tells when a revision came into force at an instance.
+// InForce records the time at which a revision came into force at an instance.
 type InForce struct {
 	Revision uint64
 	At       time.Time
 }
 
-// Latency buckets grow by a factor of about 1.19 from 100 microseconds.
+// Latency buckets grow by a factor of 2^(1/4), about 1.19, from 100 microseconds.
 const (
 	// LatencyBuckets is the number of buckets.
 	LatencyBuckets = 96
-	latencyFirst   = 100 * time.Microsecond
+	// minLatencyBound is the upper bound of the first bucket.
+	minLatencyBound = 100 * time.Microsecond
 )
 
 var latencyBounds = makeBounds()
 
 func makeBounds() [LatencyBuckets]time.Duration {
 	var bounds [LatencyBuckets]time.Duration
-	bound := float64(latencyFirst)
+	bound := float64(minLatencyBound)
 	for i := range bounds {
 		bounds[i] = time.Duration(bound)
 		bound *= 1.189207115002721
@@ -234,10 +242,11 @@
 	return bounds
 }
 
-// BucketBound returns the upper bound of latency bucket i.
+// BucketBound returns the upper bound of latency bucket i, inclusive.
 func BucketBound(i int) time.Duration { return latencyBounds[i] }
 
-// Bucket returns the latency bucket of d.
+// Bucket returns the latency bucket of d. Latencies above the last bound are in
+// the last bucket.
 func Bucket(d time.Duration) int {
 	low, high := 0, LatencyBuckets-1
 	for low < high {
