--- a/gossiper/gossiper.go
+++ b/gossiper/gossiper.go
@@ -1,5 +1,5 @@
-// Package gossiper decides which instances are members of the fleet. Each
-// instance watches a bounded number of others; changes spread over their links.
+// Package gossiper maintains the membership of the fleet. Each instance monitors a
+// bounded number of others, and changes of records spread over their links.
 package gossiper
 
 import (
@@ -12,130 +12,143 @@
 	"monsoonswitch/descriptor"
 )
 
-// Times and bounds of membership.
+// Intervals and limits of the membership protocol.
 const (
-	// heartbeatEvery is the time between heartbeats on a link.
-	heartbeatEvery = time.Second
-	// silenceLimit is the silence after which an instance is accused.
-	silenceLimit = 3 * time.Second
-	// refuteTime is how long an accused instance has to refute.
-	refuteTime = 3 * time.Second
-	// accuserTime is how long one that suspected this instance is taken to watch it.
-	accuserTime = 5 * time.Minute
-	// forgetTime is how long the record of a dead instance is kept.
-	forgetTime = 10 * time.Minute
-	// accusersNeeded is the number of instances that must agree.
-	accusersNeeded = 2
-	// maxRecords bounds the records of one message.
-	maxRecords = 256
-	// maxWelcome is the number of members up to which an instance that just
-	// started is told of all; in larger fleets digests do that bucket by bucket.
-	maxWelcome = 512
-	// digestLeast is the least time between digests on a link, and digestShare
-	// that between digests on any link.
-	digestLeast = 10 * time.Second
-	digestShare = 1200 * time.Millisecond
+	// heartbeatInterval is the time between heartbeats to a watcher.
+	heartbeatInterval = time.Second
+	// silenceTimeout is the time without a message after which a watched instance
+	// is suspected.
+	silenceTimeout = 3 * time.Second
+	// refutationTimeout is the time that a suspected instance has to refute the
+	// suspicion before it is declared dead.
+	refutationTimeout = 3 * time.Second
+	// accuserRetention is the time for which an instance that suspected this one is
+	// treated as one of its watchers.
+	accuserRetention = 5 * time.Minute
+	// deadRetention is the time for which the record of a dead or left instance is
+	// kept.
+	deadRetention = 10 * time.Minute
+	// minAccusers is the number of instances that must suspect an instance
+	// before it is declared dead; small fleets need fewer.
+	minAccusers = 2
+	// maxMessageRecords is the maximum number of records in one message.
+	maxMessageRecords = 256
+	// maxInitialMembers is the number of members up to which an instance that just
+	// started is sent all records at once. In larger fleets it receives them
+	// bucket by bucket after digests.
+	maxInitialMembers = 512
+	// minDigestInterval is the minimum time between digests on a link.
+	// digestIntervalPerLink is the minimum time per open link, which bounds the
+	// total rate of digests.
+	minDigestInterval     = 10 * time.Second
+	digestIntervalPerLink = 1200 * time.Millisecond
 )
 
-// DigestInterval returns the time between digests on one of a number of links:
-// the more links, the more others compare.
+// DigestInterval returns the time between digests on each of the given number of
+// links. It grows with that number, because every link is a comparison with
+// another instance.
 func DigestInterval(links int) time.Duration {
-	return max(digestLeast, time.Duration(links)*digestShare)
+	return max(minDigestInterval, time.Duration(links)*digestIntervalPerLink)
 }
 
-// entry is what this instance knows of a member.
+// entry is the record of a member with local bookkeeping.
 type entry struct {
 	member descriptor.Member
-	// since is when the state of the record changed last.
+	// since is the time of the last change of the member's state or incarnation.
 	since time.Time
 }
 
-// link is an open link to an instance.
+// link is the state of an open link to an instance.
 type link struct {
-	// heard is when the last message came.
-	heard time.Time
-	// beaten is when the last heartbeat was sent.
-	beaten time.Time
-	// digested is when the last digest was sent.
-	digested time.Time
-	// differing is the set of buckets in which the last digest differed.
+	// receivedAt is the time of the last message received.
+	receivedAt time.Time
+	// heartbeatAt is the time of the last heartbeat sent.
+	heartbeatAt time.Time
+	// digestAt is the time of the last digest sent.
+	digestAt time.Time
+	// differing is the set of buckets in which the last received digest differed.
 	differing uint64
 }
 
-// WithHeard returns l after a message at t.
-func (l link) WithHeard(t time.Time) link {
-	l.heard = t
+// WithReceived returns l after a message was received at t.
+func (l link) WithReceived(t time.Time) link {
+	l.receivedAt = t
 	return l
 }
 
-// WithBeat returns l after a heartbeat at t.
-func (l link) WithBeat(t time.Time) link {
-	l.beaten = t
+// WithHeartbeat returns l after a heartbeat was sent at t.
+func (l link) WithHeartbeat(t time.Time) link {
+	l.heartbeatAt = t
 	return l
 }
 
-// WithDiffering returns l after a digest that differed in a set of buckets.
+// WithDiffering returns l after a received digest differed in a set of buckets.
 func (l link) WithDiffering(set uint64) link {
 	l.differing = set
 	return l
 }
 
-// WithDigest returns l after a digest at t.
+// WithDigest returns l after a digest was sent at t.
 func (l link) WithDigest(t time.Time) link {
-	l.digested = t
+	l.digestAt = t
 	return l
 }
 
-// spot is the place of a member on the ring.
-type spot struct {
+// ringPosition is the position of a member on the hash ring.
+type ringPosition struct {
 	hash uint64
 	id   string
 }
 
-// Change is a member whose record changed.
+// Change is a change of a member's record. Before is zero for a new member.
 type Change struct{ Before, After descriptor.Member }
 
-// Gossiper holds the members known to one instance. It belongs to one goroutine.
+// Gossiper holds the members known to one instance. It is not safe for concurrent
+// use.
 type Gossiper struct {
 	self    descriptor.Member
 	members *container.Table[string, entry]
 	links   *container.Table[string, link]
-	// ring holds the members that are not dead or left, sorted by hash.
-	ring []spot
-	// wanted holds the IDs of the instances that this one watches.
-	wanted []string
-	// watchers holds the instances that watch this one, if they know the same
-	// members.
+	// ring holds the members that are neither dead nor left, sorted by hash.
+	ring []ringPosition
+	// watched holds the IDs of the instances that this one monitors.
+	watched []string
+	// watchers holds the instances that monitor this one, provided that they know
+	// the same members.
 	watchers map[string]bool
-	// accusers holds when instances last suspected this one: they watch it, whatever
-	// members they know.
+	// accusers holds the time at which each instance last suspected this one.
+	// Such an instance monitors this one even if the lists of members differ.
 	accusers map[string]time.Time
-	// wantedAt is when each was first wanted without being heard.
-	wantedAt *container.Table[string, time.Time]
-	// ticked is when the last tick was.
-	ticked time.Time
-	// source is the instance whose records are taken in now.
+	// watchedAt holds the time at which each watched instance was chosen or its
+	// last link was closed. It starts the silence of an instance without a link.
+	watchedAt *container.Table[string, time.Time]
+	// lastTick is the time of the last tick.
+	lastTick time.Time
+	// source is the instance whose records are being merged, or empty.
 	source string
 	// pending holds the members whose records changed since the last flush, with
-	// the instance that told of each.
+	// the instance that sent each change.
 	pending  *container.Table[string, string]
 	sequence uint64
-	// digest sums up all records.
-	digest  container.Sums
-	stale   bool
-	changes []Change
-	actions []descriptor.Action
+	// digest holds the hash sums of the records of all members that are neither
+	// dead nor left.
+	digest container.Sums
+	// ringChanged is set when the ring changed since the watched instances were
+	// chosen.
+	ringChanged bool
+	changes     []Change
+	actions     []descriptor.Action
 }
 
-// New returns a gossiper that knows its own instance only.
+// New returns a gossiper that knows only its own instance.
 func New(self descriptor.Member, now time.Time) *Gossiper {
 	g := &Gossiper{
-		self:     self,
-		members:  container.NewTable[string, entry](),
-		links:    container.NewTable[string, link](),
-		wantedAt: container.NewTable[string, time.Time](),
-		pending:  container.NewTable[string, string](),
-		accusers: make(map[string]time.Time),
+		self:      self,
+		members:   container.NewTable[string, entry](),
+		links:     container.NewTable[string, link](),
+		watchedAt: container.NewTable[string, time.Time](),
+		pending:   container.NewTable[string, string](),
+		accusers:  make(map[string]time.Time),
 	}
 	g.store(self, now)
 	return g
@@ -159,13 +172,14 @@
 	return result
 }
 
-// Digest sums up all records.
+// Digest returns the hash sums of the records of all members that are neither dead
+// nor left.
 func (g *Gossiper) Digest() container.Sums { return g.digest }
 
-// Linked tells whether there is a link to an instance.
+// Linked reports whether there is an open link to an instance.
 func (g *Gossiper) Linked(id string) bool { return g.links.Has(id) }
 
-// Links returns the instances linked to.
+// Links returns the IDs of the instances with an open link, sorted.
 func (g *Gossiper) Links() []string {
 	result := make([]string, 0, g.links.Len())
 	for id := range g.links.All {
@@ -175,7 +189,8 @@
 	return result
 }
 
-// Drain returns the actions and the changes since the last call.
+// Drain returns the actions and changes collected since the last call and clears
+// them.
 func (g *Gossiper) Drain() ([]descriptor.Action, []Change) {
 	actions, changes := g.actions, g.changes
 	g.actions = nil
@@ -183,40 +198,41 @@
 	return actions, changes
 }
 
-// SetReady spreads whether this instance serves callers.
+// SetReady publishes whether this instance serves callers.
 func (g *Gossiper) SetReady(now time.Time, ready bool) {
 	if g.self.Ready != ready {
-		g.restate(now, g.self.WithReady(ready))
+		g.updateSelf(now, g.self.WithReady(ready))
 	}
 }
 
-// Leave spreads that this instance left, and the heir of its keys.
+// Leave publishes that this instance left, and the successor for its keys.
 func (g *Gossiper) Leave(now time.Time, heir string) {
-	g.restate(now, g.self.WithReady(false).WithHeir(heir).WithState(descriptor.Left, nil))
+	g.updateSelf(now, g.self.WithReady(false).WithHeir(heir).WithState(descriptor.Left, nil))
 	g.Flush()
 }
 
-// restate replaces the own record by a newer version.
-func (g *Gossiper) restate(now time.Time, m descriptor.Member) {
+// updateSelf replaces the record of this instance with m under a new version.
+func (g *Gossiper) updateSelf(now time.Time, m descriptor.Member) {
 	g.self = m.WithVersion(g.self.Version + 1)
 	g.store(g.self, now)
 }
 
-// LinkOpened takes in a link to an instance.
+// LinkOpened handles a new link to an instance. If the instance just started and
+// the fleet has at most maxInitialMembers members, it sends all live records, and
+// otherwise only the record of this instance.
 func (g *Gossiper) LinkOpened(e descriptor.LinkOpened) {
 	before, known := g.members.Get(e.Peer.ID)
-	g.links.Put(e.Peer.ID, link{heard: e.At})
+	g.links.Put(e.Peer.ID, link{receivedAt: e.At})
 	g.merge(e.Peer, e.At)
-	if known && before.member.Incarnation == e.Peer.Incarnation || g.members.Len() > maxWelcome {
+	if known && before.member.Incarnation == e.Peer.Incarnation || g.members.Len() > maxInitialMembers {
 		g.send(e.Peer.ID, descriptor.Members{Records: []descriptor.Member{g.self}})
 		return
 	}
-	// One that just started learns of everybody at once.
-	g.sendRecords(e.Peer.ID, g.living())
+	g.sendRecords(e.Peer.ID, g.liveRecords())
 }
 
-// living returns the records of the members that are not given up.
-func (g *Gossiper) living() []descriptor.Member {
+// liveRecords returns the records of the members that are neither dead nor left.
+func (g *Gossiper) liveRecords() []descriptor.Member {
 	var result []descriptor.Member
 	for _, e := range g.members.All {
 		if e.member.State < descriptor.Dead {
@@ -226,22 +242,24 @@
 	return result
 }
 
-// LinkClosed takes in that there is no link to an instance any more.
+// LinkClosed handles the loss of the last link to an instance.
 func (g *Gossiper) LinkClosed(e descriptor.LinkClosed) {
 	g.links.Delete(e.Peer)
-	g.wantedAt.Put(e.Peer, e.At)
+	g.watchedAt.Put(e.Peer, e.At)
 }
 
-// Heard takes in that an instance sent anything. The end of an older link may be
-// told after the begin of this one, so a link is also known from what comes over it.
+// Heard records that a message from an instance was received. It also restores a
+// missing link entry, because the close of an older link may be reported after a
+// newer link was opened.
 func (g *Gossiper) Heard(now time.Time, from string) {
 	if l, ok := g.links.Get(from); ok || g.members.Has(from) {
-		g.links.Put(from, l.WithHeard(now))
+		g.links.Put(from, l.WithReceived(now))
 	}
 }
 
-// HearMembers takes in records. A message that holds every record of some
-// buckets is answered with the records that it lacks or has in older versions.
+// HearMembers merges received records. If the message is complete for some
+// buckets, the answer carries the records of these buckets that the sender lacks
+// or holds in older versions.
 func (g *Gossiper) HearMembers(now time.Time, from string, m descriptor.Members) {
 	g.source = from
 	defer func() { g.source = "" }()
@@ -263,8 +281,8 @@
 }
 
 // HearDigest answers a digest with the records of the buckets that differ. A
-// change on its way makes digests differ for a moment, so only a difference
-// that stays or a large one counts.
+// change that is still spreading makes digests differ for a moment, so a bucket
+// counts only if it differed in the last two digests or the difference is large.
 func (g *Gossiper) HearDigest(from string, digest container.Sums) {
 	l, ok := g.links.Get(from)
 	if !ok {
@@ -296,7 +314,7 @@
 
 func (g *Gossiper) sendRecords(to string, records []descriptor.Member) {
 	for len(records) > 0 {
-		n := min(len(records), maxRecords)
+		n := min(len(records), maxMessageRecords)
 		g.send(to, descriptor.Members{Records: records[:n]})
 		records = records[n:]
 	}
@@ -309,7 +327,7 @@
 	}
 }
 
-// merge takes in one record.
+// merge applies one received record.
 func (g *Gossiper) merge(m descriptor.Member, now time.Time) {
 	if m.ID == g.self.ID {
 		g.mergeSelf(m, now)
@@ -341,15 +359,16 @@
 	return a.Incarnation == b.Incarnation && a.Version == b.Version
 }
 
-// mergeSelf refutes what others believe of this instance if it is wrong.
+// mergeSelf applies a received record of this instance, and publishes a newer one
+// if the received one is wrong.
 func (g *Gossiper) mergeSelf(m descriptor.Member, now time.Time) {
 	if g.self.State == descriptor.Left {
 		return
 	}
 	if m.Incarnation > g.self.Incarnation {
-		// The clock of an earlier start was ahead of the present one.
+		// An earlier start of this instance had a clock ahead of the present one.
 		g.self.Incarnation = m.Incarnation + 1
-		g.restate(now, g.self)
+		g.updateSelf(now, g.self)
 		return
 	}
 	if m.Incarnation < g.self.Incarnation {
@@ -360,11 +379,11 @@
 	}
 	if m.Version > g.self.Version || m.Version == g.self.Version && m.State != g.self.State {
 		g.self = g.self.WithVersion(m.Version)
-		g.restate(now, g.self)
+		g.updateSelf(now, g.self)
 	}
 }
 
-// union returns the accusers in either list, sorted, at most MaxAccusers.
+// union returns the accusers in either list, sorted and limited to MaxAccusers.
 func union(a, b []string) []string {
 	result := append([]string(nil), a...)
 	for _, id := range b {
@@ -385,40 +404,41 @@
 	return false
 }
 
-// store replaces a record and marks it for spreading.
+// store replaces a record and queues it for the next flush.
 func (g *Gossiper) store(m descriptor.Member, now time.Time) {
 	before, ok := g.members.Get(m.ID)
 	since := now
 	if ok {
-		g.digest = without(g.digest, before.member)
+		g.digest = removeRecord(g.digest, before.member)
 		if before.member.State == m.State && before.member.Incarnation == m.Incarnation {
 			since = before.since
 		}
 	}
-	g.digest = with(g.digest, m)
+	g.digest = addRecord(g.digest, m)
 	g.members.Put(m.ID, entry{member: m, since: since})
 	g.pending.Put(m.ID, g.source)
 	g.changes = append(g.changes, Change{Before: before.member, After: m})
-	g.place(m)
+	g.updateRing(m)
 }
 
-// with adds a record to a digest. Dead members are left out: instances forget
-// them at different times.
-func with(s container.Sums, m descriptor.Member) container.Sums {
+// addRecord adds a record to hash sums. Records of dead and left members are
+// omitted, because instances drop them at different times.
+func addRecord(s container.Sums, m descriptor.Member) container.Sums {
 	if m.State >= descriptor.Dead {
 		return s
 	}
 	return s.With(xxhash.Sum64String(m.ID), recordHash(m))
 }
 
-func without(s container.Sums, m descriptor.Member) container.Sums {
+func removeRecord(s container.Sums, m descriptor.Member) container.Sums {
 	if m.State >= descriptor.Dead {
 		return s
 	}
 	return s.Without(xxhash.Sum64String(m.ID), recordHash(m))
 }
 
-// recordHash sums up a record. Accusers are left out: they differ for a while.
+// recordHash returns the hash of a record. Accusers are omitted, because they
+// differ between instances while a suspicion spreads.
 func recordHash(m descriptor.Member) uint64 {
 	h := xxhash.Sum64String(m.ID)
 	h = h*31 + uint64(m.Incarnation)
@@ -426,25 +446,25 @@
 	return h*31 + uint64(m.State)
 }
 
-// place keeps the ring in step with a record.
-func (g *Gossiper) place(m descriptor.Member) {
-	s := spot{hash: xxhash.Sum64String(m.ID), id: m.ID}
+// updateRing adds the member of a record to the ring or removes it, by its state.
+func (g *Gossiper) updateRing(m descriptor.Member) {
+	s := ringPosition{hash: xxhash.Sum64String(m.ID), id: m.ID}
 	i := sort.Search(len(g.ring), func(i int) bool { return !less(g.ring[i], s) })
 	present := i < len(g.ring) && g.ring[i] == s
-	wanted := m.State < descriptor.Dead
+	listed := m.State < descriptor.Dead
 	switch {
-	case wanted && !present:
-		g.ring = append(g.ring, spot{})
+	case listed && !present:
+		g.ring = append(g.ring, ringPosition{})
 		copy(g.ring[i+1:], g.ring[i:])
 		g.ring[i] = s
-		g.stale = true
-	case !wanted && present:
+		g.ringChanged = true
+	case !listed && present:
 		g.ring = append(g.ring[:i], g.ring[i+1:]...)
-		g.stale = true
+		g.ringChanged = true
 	}
 }
 
-func less(a, b spot) bool {
+func less(a, b ringPosition) bool {
 	if a.hash != b.hash {
 		return a.hash < b.hash
 	}
--- a/gossiper/gossiper_test.go
+++ b/gossiper/gossiper_test.go
@@ -10,17 +10,18 @@
 	"monsoonswitch/descriptor"
 )
 
-// network connects gossipers in fake time.
+// network simulates gossipers with links between them in fake time.
 type network struct {
 	t     *testing.T
 	now   time.Time
 	nodes map[string]*Gossiper
 	order []string
-	// cut holds the directions in which nothing gets through.
+	// cut holds the directions in which messages are lost, as sender and receiver.
 	cut map[[2]string]bool
-	// hidden holds the members of which an instance is told nothing.
+	// hidden holds, for each receiver, the members whose records are removed from
+	// its messages.
 	hidden map[string][]string
-	// links holds the pairs that are linked, dialer first.
+	// links holds the open links, as dialer and listener.
 	links map[[2]string]bool
 }
 
@@ -60,7 +61,7 @@
 	x.nodes[to].LinkOpened(descriptor.LinkOpened{At: x.now, Peer: x.nodes[from].Self()})
 }
 
-// kill removes a node without a goodbye.
+// kill removes a node that does not announce its shutdown.
 func (x *network) kill(id string) {
 	delete(x.nodes, id)
 	for pair := range x.links {
@@ -85,7 +86,7 @@
 			if g := x.nodes[id]; g != nil {
 				g.Tick(x.now, container.Sums{})
 				x.carry(id, g)
-				for _, peer := range g.wanted {
+				for _, peer := range g.watched {
 					x.link(id, peer)
 				}
 			}
@@ -122,7 +123,7 @@
 	}
 }
 
-// visible returns m without what is hidden from an instance.
+// visible returns m without the records that are hidden from an instance.
 func (x *network) visible(to string, m descriptor.Members) descriptor.Members {
 	var records []descriptor.Member
 	for _, r := range m.Records {
@@ -134,7 +135,8 @@
 	return m
 }
 
-// suspects counts how often a member is suspected anew within a time.
+// suspects returns how often more nodes suspect a member than in the step before,
+// within a time.
 func (x *network) suspects(id string, d time.Duration) int {
 	n, before := 0, 0
 	for range d / (200 * time.Millisecond) {
@@ -148,7 +150,7 @@
 	return n
 }
 
-// states counts how the nodes see one member.
+// states counts the states in which the other nodes hold a member.
 func (x *network) states(id string) map[descriptor.Liveness]int {
 	result := make(map[descriptor.Liveness]int)
 	for other, g := range x.nodes {
@@ -163,20 +165,20 @@
 }
 
 func TestMembership(t *testing.T) {
-	t.Run("everyone knows everyone over few links", func(t *testing.T) {
+	t.Run("all instances know all others over few links", func(t *testing.T) {
 		x := newNetwork(t, 24)
 		for _, id := range x.order {
 			asserter.Equal(t, "members of "+id, len(x.nodes[id].Members()), 24)
-			asserter.AtMost(t, "watched by "+id, len(x.nodes[id].wanted), 5)
+			asserter.AtMost(t, "watched by "+id, len(x.nodes[id].watched), 5)
 		}
 	})
-	t.Run("a dead instance is given up by all", func(t *testing.T) {
+	t.Run("all instances declare a crashed instance dead", func(t *testing.T) {
 		x := newNetwork(t, 12)
 		x.kill("n05")
 		x.run(15 * time.Second)
 		asserter.Equal(t, "states", x.states("n05"), map[descriptor.Liveness]int{descriptor.Dead: 11})
 	})
-	t.Run("one-way loss of hearing is not death", func(t *testing.T) {
+	t.Run("lost messages to half of the instances do not make an instance dead", func(t *testing.T) {
 		x := newNetwork(t, 12)
 		for _, id := range x.order[:6] {
 			x.cut[[2]string{"n07", id}] = true
@@ -186,9 +188,9 @@
 			x.run(time.Second)
 			worst = max(worst, x.states("n07")[descriptor.Dead])
 		}
-		asserter.Equal(t, "given up by", worst, 0)
+		asserter.Equal(t, "instances that declared it dead", worst, 0)
 	})
-	t.Run("an instance that hears nobody accuses in vain", func(t *testing.T) {
+	t.Run("an instance that receives nothing cannot make others dead", func(t *testing.T) {
 		x := newNetwork(t, 12)
 		for _, id := range x.order {
 			x.cut[[2]string{id, "n03"}] = true
@@ -196,18 +198,18 @@
 		x.run(30 * time.Second)
 		for _, id := range x.order {
 			if id != "n03" {
-				asserter.Equal(t, "dead in the eyes of others: "+id, x.states(id)[descriptor.Dead], 0)
+				asserter.Equal(t, "instances that declared dead: "+id, x.states(id)[descriptor.Dead], 0)
 			}
 		}
 	})
-	t.Run("an instance given up wrongly comes back", func(t *testing.T) {
+	t.Run("an instance wrongly declared dead is restored", func(t *testing.T) {
 		x := newNetwork(t, 8)
 		for _, id := range x.order {
 			x.cut[[2]string{"n02", id}] = true
 			x.cut[[2]string{id, "n02"}] = true
 		}
 		x.run(15 * time.Second)
-		asserter.Equal(t, "given up", x.states("n02")[descriptor.Dead], 7)
+		asserter.Equal(t, "declared dead", x.states("n02")[descriptor.Dead], 7)
 		x.cut = make(map[[2]string]bool)
 		x.link("n02", "n00")
 		x.run(30 * time.Second)
@@ -224,25 +226,25 @@
 			asserter.Equal(t, "incarnation at "+id, m.Incarnation, int64(2))
 		}
 	})
-	t.Run("an instance that does not know all is not suspected for long", func(t *testing.T) {
+	t.Run("an instance with an incomplete list of members is not suspected repeatedly", func(t *testing.T) {
 		x := newNetwork(t, 24)
 		x.kill("n03")
 		x.hidden = map[string][]string{"n03": {"n01", "n05", "n10", "n11", "n17", "n20"}}
 		x.add("n03", 2)
 		x.link("n03", "n00")
 		x.run(20 * time.Second)
-		asserter.Equal(t, "suspected anew", x.suspects("n03", 20*time.Second), 0)
+		asserter.Equal(t, "new suspicions", x.suspects("n03", 20*time.Second), 0)
 	})
-	t.Run("a link that is known from what comes over it stays in use", func(t *testing.T) {
+	t.Run("a link closed by a late report is restored by the next message", func(t *testing.T) {
 		x := newNetwork(t, 12)
 		g := x.nodes["n04"]
-		peer := g.wanted[0]
+		peer := g.watched[0]
 		g.LinkClosed(descriptor.LinkClosed{At: x.now, Peer: peer})
 		x.run(5 * time.Second)
 		asserter.True(t, "linked", g.Linked(peer))
-		asserter.Equal(t, "suspected anew", x.suspects(peer, 10*time.Second), 0)
+		asserter.Equal(t, "new suspicions", x.suspects(peer, 10*time.Second), 0)
 	})
-	t.Run("a goodbye is known at once", func(t *testing.T) {
+	t.Run("an announced shutdown is known within 2 s", func(t *testing.T) {
 		x := newNetwork(t, 12)
 		x.nodes["n04"].Leave(x.now, "n01")
 		x.carry("n04", x.nodes["n04"])
--- a/gossiper/tick.go
+++ b/gossiper/tick.go
@@ -10,76 +10,79 @@
 	"monsoonswitch/descriptor"
 )
 
-// Tick sends heartbeats, accuses silent instances and spreads changes.
+// Tick sends heartbeats, suspects silent instances, declares suspected ones dead
+// and spreads changes. The digests sent carry documents as the hash sums of the
+// documents.
 func (g *Gossiper) Tick(now time.Time, documents container.Sums) {
-	g.excuse(now)
-	if g.stale {
-		g.choose(now)
+	g.compensatePause(now)
+	if g.ringChanged {
+		g.chooseWatched(now)
 	}
-	g.beat(now, documents)
-	g.accuse(now)
-	g.confirm(now)
+	g.sendHeartbeats(now, documents)
+	g.suspectSilent(now)
+	g.confirmDead(now)
 	g.Flush()
 }
 
-// pauseLimit is the time between two ticks from which on this process must have
-// been stopped in between.
-const pauseLimit = time.Second
+// minPause is the time between two ticks above which this process is assumed to
+// have been suspended.
+const minPause = time.Second
 
-// excuse takes a time in which this process was stopped out of the silence of the
-// others: it could not have heard them.
-func (g *Gossiper) excuse(now time.Time) {
-	gap := now.Sub(g.ticked)
-	if !g.ticked.IsZero() && gap > pauseLimit {
+// compensatePause subtracts a suspension of this process from the silence of
+// the other instances, because their messages could not be received during that
+// time. It also drops expired accusers.
+func (g *Gossiper) compensatePause(now time.Time) {
+	gap := now.Sub(g.lastTick)
+	if !g.lastTick.IsZero() && gap > minPause {
 		for i := range g.links.Len() {
 			_, l := g.links.At(i)
-			g.links.SetAt(i, l.WithHeard(l.heard.Add(gap)))
+			g.links.SetAt(i, l.WithReceived(l.receivedAt.Add(gap)))
 		}
-		for i := range g.wantedAt.Len() {
-			_, at := g.wantedAt.At(i)
-			g.wantedAt.SetAt(i, at.Add(gap))
+		for i := range g.watchedAt.Len() {
+			_, at := g.watchedAt.At(i)
+			g.watchedAt.SetAt(i, at.Add(gap))
 		}
 	}
-	g.ticked = now
+	g.lastTick = now
 	for id, at := range g.accusers {
-		if now.Sub(at) >= accuserTime {
+		if now.Sub(at) >= accuserRetention {
 			delete(g.accusers, id)
 		}
 	}
 }
 
-// choose picks the instances to watch: those at distances 1, 2, 4, ... on the
-// ring. Everyone is watched by as many, and a change reaches everyone in a
-// logarithmic number of steps.
-func (g *Gossiper) choose(now time.Time) {
-	g.stale = false
-	self := spot{hash: xxhash.Sum64String(g.self.ID), id: g.self.ID}
+// chooseWatched selects the instances to watch: those at distances 1, 2, 4, ...
+// on the ring. Each instance then has as many watchers, and a change reaches
+// all instances in a logarithmic number of steps.
+func (g *Gossiper) chooseWatched(now time.Time) {
+	g.ringChanged = false
+	self := ringPosition{hash: xxhash.Sum64String(g.self.ID), id: g.self.ID}
 	i := sort.Search(len(g.ring), func(i int) bool { return !less(g.ring[i], self) })
 	n := len(g.ring)
-	var wanted []string
+	var watched []string
 	var peers []descriptor.Member
 	for distance := 1; distance < n; distance *= 2 {
 		id := g.ring[(i+distance)%n].id
-		if id == g.self.ID || contains(wanted, id) {
+		if id == g.self.ID || contains(watched, id) {
 			continue
 		}
-		wanted = append(wanted, id)
+		watched = append(watched, id)
 		e, _ := g.members.Get(id)
 		peers = append(peers, e.member)
-		if !g.wantedAt.Has(id) {
-			g.wantedAt.Put(id, now)
+		if !g.watchedAt.Has(id) {
+			g.watchedAt.Put(id, now)
 		}
 	}
-	g.wanted = wanted
+	g.watched = watched
 	g.watchers = g.watchersOf(i, n)
-	for _, id := range keysNotIn(g, wanted) {
-		g.wantedAt.Delete(id)
+	for _, id := range unwatched(g, watched) {
+		g.watchedAt.Delete(id)
 	}
 	g.actions = append(g.actions, descriptor.Connect{Peers: peers})
 }
 
-// watchersOf lists the instances that watch the one at position i of a ring of n
-// instances, if they know the same ring.
+// watchersOf returns the instances that watch the one at position i of a ring of n
+// instances, provided that they know the same ring.
 func (g *Gossiper) watchersOf(i, n int) map[string]bool {
 	result := make(map[string]bool)
 	for distance := 1; distance < n; distance *= 2 {
@@ -88,28 +91,28 @@
 	return result
 }
 
-func keysNotIn(g *Gossiper, wanted []string) []string {
+func unwatched(g *Gossiper, watched []string) []string {
 	var result []string
-	for id := range g.wantedAt.All {
-		if !contains(wanted, id) {
+	for id := range g.watchedAt.All {
+		if !contains(watched, id) {
 			result = append(result, id)
 		}
 	}
 	return result
 }
 
-// beat sends heartbeats and digests that are due.
-func (g *Gossiper) beat(now time.Time, documents container.Sums) {
+// sendHeartbeats sends the heartbeats and digests whose interval has passed.
+func (g *Gossiper) sendHeartbeats(now time.Time, documents container.Sums) {
 	every := DigestInterval(g.links.Len())
 	for i := range g.links.Len() {
 		id, l := g.links.At(i)
-		if now.Sub(l.beaten) < g.beatEvery(id, now) {
+		if now.Sub(l.heartbeatAt) < g.heartbeatIntervalOf(id, now) {
 			continue
 		}
 		g.sequence++
 		g.send(id, descriptor.Heartbeat{Sequence: g.sequence})
-		l = l.WithBeat(now)
-		if now.Sub(l.digested) >= every && (g.watchers[id] || contains(g.wanted, id)) {
+		l = l.WithHeartbeat(now)
+		if now.Sub(l.digestAt) >= every && (g.watchers[id] || contains(g.watched, id)) {
 			g.send(id, descriptor.Digest{Members: g.digest, Documents: documents})
 			l = l.WithDigest(now)
 		}
@@ -117,27 +120,28 @@
 	}
 }
 
-// beatEvery returns the time between heartbeats on a link: often to those that
-// watch this instance, less often to those that may come to, and hardly ever on
-// links that carry something else.
-func (g *Gossiper) beatEvery(id string, now time.Time) time.Duration {
+// heartbeatIntervalOf returns the time between heartbeats on a link. It is
+// shortest for the watchers of this instance, twice as long for the instances
+// that this one watches, which may become watchers, and ten times as long for
+// other links.
+func (g *Gossiper) heartbeatIntervalOf(id string, now time.Time) time.Duration {
 	switch {
-	case g.watchers[id] || len(g.watchers) == 0 || now.Sub(g.accusers[id]) < accuserTime:
-		return heartbeatEvery
-	case contains(g.wanted, id):
-		return 2 * heartbeatEvery
+	case g.watchers[id] || len(g.watchers) == 0 || now.Sub(g.accusers[id]) < accuserRetention:
+		return heartbeatInterval
+	case contains(g.watched, id):
+		return 2 * heartbeatInterval
 	}
-	return 10 * heartbeatEvery
+	return 10 * heartbeatInterval
 }
 
-// accuse marks watched instances that were silent for too long.
-func (g *Gossiper) accuse(now time.Time) {
-	for _, id := range g.wanted {
+// suspectSilent suspects the watched instances that were silent for silenceTimeout.
+func (g *Gossiper) suspectSilent(now time.Time) {
+	for _, id := range g.watched {
 		e, ok := g.members.Get(id)
 		if !ok || e.member.State >= descriptor.Dead || contains(e.member.Accusers, g.self.ID) {
 			continue
 		}
-		if now.Sub(g.lastHeard(id, now)) < silenceLimit {
+		if now.Sub(g.lastReceived(id, now)) < silenceTimeout {
 			continue
 		}
 		accusers := union([]string{g.self.ID}, e.member.Accusers)
@@ -145,28 +149,28 @@
 	}
 }
 
-func (g *Gossiper) lastHeard(id string, now time.Time) time.Time {
+func (g *Gossiper) lastReceived(id string, now time.Time) time.Time {
 	if l, ok := g.links.Get(id); ok {
-		return l.heard
+		return l.receivedAt
 	}
-	if t, ok := g.wantedAt.Get(id); ok {
+	if t, ok := g.watchedAt.Get(id); ok {
 		return t
 	}
 	return now
 }
 
-// confirm gives up instances that enough others accuse and that did not refute,
-// and forgets those that are gone for long.
-func (g *Gossiper) confirm(now time.Time) {
-	needed := min(accusersNeeded, max(1, len(g.ring)-2))
+// confirmDead declares instances dead that enough others suspect and that did not
+// refute it in time, and drops expired records of dead and left instances.
+func (g *Gossiper) confirmDead(now time.Time) {
+	needed := min(minAccusers, max(1, len(g.ring)-2))
 	var dead []descriptor.Member
 	var forgotten []string
 	for id, e := range g.members.All {
 		age := now.Sub(e.since)
-		if e.member.State == descriptor.Suspect && age >= refuteTime && len(e.member.Accusers) >= needed {
+		if e.member.State == descriptor.Suspect && age >= refutationTimeout && len(e.member.Accusers) >= needed {
 			dead = append(dead, e.member)
 		}
-		if e.member.State >= descriptor.Dead && age >= forgetTime {
+		if e.member.State >= descriptor.Dead && age >= deadRetention {
 			forgotten = append(forgotten, id)
 		}
 	}
@@ -178,12 +182,12 @@
 	}
 }
 
-// Flush spreads the changed records over all links.
+// Flush sends the changed records to the instances that changes are spread to.
 func (g *Gossiper) Flush() {
 	if g.pending.Len() == 0 {
 		return
 	}
-	for _, to := range g.spreadTo() {
+	for _, to := range g.spreadTargets() {
 		var records []descriptor.Member
 		for id, from := range g.pending.All {
 			if e, ok := g.members.Get(id); ok && from != to {
@@ -195,21 +199,23 @@
 	g.pending = container.NewTable[string, string]()
 }
 
-// spreadTo lists the instances that changes go to: those that this one watches.
-// They reach everyone by that; an instance without links to them tells all it has.
-func (g *Gossiper) spreadTo() []string {
+// spreadTargets returns the instances that changes are sent to. These are the
+// linked ones among the watched instances, which is enough to reach all
+// instances. If fewer than minSpreadPeers of them are linked, changes are sent
+// over all links.
+func (g *Gossiper) spreadTargets() []string {
 	var result []string
-	for _, id := range g.wanted {
+	for _, id := range g.watched {
 		if g.links.Has(id) {
 			result = append(result, id)
 		}
 	}
-	if len(result) < min(leastSpread, len(g.wanted)) || len(result) == 0 {
+	if len(result) < min(minSpreadPeers, len(g.watched)) || len(result) == 0 {
 		return g.Links()
 	}
 	return result
 }
 
-// leastSpread is the number of watched instances linked to from which on changes
-// go to these alone.
-const leastSpread = 2
+// minSpreadPeers is the number of linked watched instances from which on
+// changes are sent to these only.
+const minSpreadPeers = 2
