--- a/relayer/relayer.go
+++ b/relayer/relayer.go
@@ -1,6 +1,7 @@
-// Package relayer decides how instances that do not follow the platform's store
-// know that they miss nothing: the few that do send pulses down a tree of all
-// instances, and one that gets none in time asks the store itself.
+// Package relayer tracks how current the documents of an instance are. The few
+// instances that watch the platform's store send freshness announcements along a
+// tree of all instances. An instance that receives none in time queries the store
+// itself.
 package relayer
 
 import (
@@ -13,54 +14,65 @@
 	"monsoonswitch/descriptor"
 )
 
-// Times and bounds of pulses. Together they keep the news of a change well below
-// the two seconds in which it must be in force, also where links are silent.
+// Intervals and limits of freshness announcements. Together they keep the time
+// until a change is known well below the two seconds within which it must be in
+// force, even on instances whose links are silent.
 const (
-	// pulseEvery is the time between pulses of an instance that follows the store.
-	pulseEvery = 300 * time.Millisecond
-	// staleTime is the age of the last confirmation from which an instance asks
-	// the store itself.
-	staleTime = 1200 * time.Millisecond
-	// steadyTime is how long pulses must keep coming before it stops to.
+	// announceInterval is the time between announcements of an instance that
+	// watches the store.
+	announceInterval = 300 * time.Millisecond
+	// maxConfirmationAge is the age of the last confirmation above which an
+	// instance queries the store itself.
+	maxConfirmationAge = 1200 * time.Millisecond
+	// steadyTime is the time for which announcements must keep arriving before
+	// the instance stops its own queries.
 	steadyTime = time.Second
-	// outageTime is the time without an answer of the store from which it counts
-	// as having been away.
-	outageTime = 2 * time.Second
-	// returnTime is how long after that entries that lapsed meanwhile may still
-	// come back: about two seconds by the platform's promise.
-	returnTime = 2200 * time.Millisecond
-	// fanout is the number of instances that each one passes a pulse on to.
+	// minOutage is the time without a response of the store above which the gap
+	// counts as an outage.
+	minOutage = 2 * time.Second
+	// restoreTime is the time after the end of an outage during which store
+	// entries that expired in the outage may still be registered again. The
+	// platform guarantees about two seconds.
+	restoreTime = 2200 * time.Millisecond
+	// fanout is the number of instances to which each instance forwards an
+	// announcement.
 	fanout = 8
 )
 
-// origin is what is known of the pulses of one follower of the store.
+// origin is the state of the announcements of one instance that watches the store.
 type origin struct {
-	// sequence is that of the last pulse passed on.
+	// sequence is the order of the last message forwarded; see Newer.
 	sequence uint64
-	// sum and asOf are those of the last pulse; asOf counts once the documents
-	// held have that sum.
+	// sum is the hash sum of the documents in the last announcement, and asOf the
+	// time at which the store was read for it. asOf applies to this instance once
+	// its own documents have that sum.
 	sum  uint64
 	asOf time.Time
 }
 
-// Relayer holds what one instance knows of how current it is. It belongs to one
-// goroutine.
+// Relayer tracks how current the documents of one instance are. It is not safe for
+// concurrent use.
 type Relayer struct {
 	self descriptor.Member
-	// own holds the time as of which each kind was read from the store here.
+	// own holds the time at which this instance last read each kind of document
+	// from the store.
 	own *container.Table[descriptor.Kind, time.Time]
-	// origins holds the followers of the store by ID.
+	// origins holds the instances that send announcements, by ID.
 	origins *container.Table[string, origin]
-	// pulsed is the time as of which pulses confirm the documents held.
-	pulsed time.Time
-	// steady is since when pulses have kept coming; zero while they do not.
-	steady time.Time
-	// noticed is the newest time as of which the store answered anybody, and
-	// recovered when it came back after the last outage.
-	noticed, recovered time.Time
-	// asking tells that the store is asked for want of pulses.
-	asking bool
-	// sequence and sentAt are those of the last pulse sent from here.
+	// announced is the time at which the documents of this instance were the
+	// newest ones according to announcements.
+	announced time.Time
+	// steadySince is the time since which announcements have kept arriving, or
+	// zero if they do not.
+	steadySince time.Time
+	// respondedAt is the latest time at which the store is known to have responded
+	// to any instance. recoveredAt is the end of the last outage, or zero.
+	respondedAt, recoveredAt time.Time
+	// querying is set while this instance queries the store for lack of
+	// announcements.
+	querying bool
+	// sequence, sentAt, sentSum and sentAsOf describe the last announcement sent
+	// by this instance.
 	sequence uint64
 	sentAt   time.Time
 	sentSum  uint64
@@ -76,35 +88,38 @@
 	}
 }
 
-// Confirm takes in that nothing newer of a kind was in the store at a time.
+// Confirm records that this instance read a kind of document from the store and
+// has the newest ones as of the given time.
 func (r *Relayer) Confirm(kind descriptor.Kind, asOf time.Time) {
 	if before, ok := r.own.Get(kind); !ok || asOf.After(before) {
 		r.own.Put(kind, asOf)
 	}
 }
 
-// Notice takes in that the store answered somebody as of a time. A gap since the
-// last such time is an outage, or a cut of this instance from everybody.
+// Notice records that the store responded to some instance at asOf. A gap of
+// minOutage since the last such time is an outage of the store, or a partition of
+// this instance from all others.
 func (r *Relayer) Notice(now, asOf time.Time) {
-	if asOf.IsZero() || !asOf.After(r.noticed) {
+	if asOf.IsZero() || !asOf.After(r.respondedAt) {
 		return
 	}
-	if !r.noticed.IsZero() && asOf.Sub(r.noticed) >= outageTime {
-		r.recovered = now
+	if !r.respondedAt.IsZero() && asOf.Sub(r.respondedAt) >= minOutage {
+		r.recoveredAt = now
 	}
-	r.noticed = asOf
+	r.respondedAt = asOf
 }
 
-// MayReturn returns until when entries that lapsed during an outage may still
-// come back.
+// MayReturn returns the time until which store entries that expired during the last
+// outage may still be registered again, or zero if there was no outage.
 func (r *Relayer) MayReturn() time.Time {
-	if r.recovered.IsZero() {
-		return r.recovered
+	if r.recoveredAt.IsZero() {
+		return r.recoveredAt
 	}
-	return r.recovered.Add(returnTime)
+	return r.recoveredAt.Add(restoreTime)
 }
 
-// read returns the time as of which all of the given kinds were read here.
+// read returns the time as of which this instance has read all of the given kinds,
+// or zero if it has not read one of them.
 func (r *Relayer) read(kinds []descriptor.Kind) time.Time {
 	var oldest time.Time
 	for _, k := range kinds {
@@ -119,39 +134,41 @@
 	return oldest
 }
 
-// Current returns the time as of which the documents held were the newest ones.
+// Current returns the latest time at which the documents of this instance are known
+// to have been the newest ones.
 func (r *Relayer) Current(kinds []descriptor.Kind) time.Time {
-	if own := r.read(kinds); own.After(r.pulsed) {
+	if own := r.read(kinds); own.After(r.announced) {
 		return own
 	}
-	return r.pulsed
+	return r.announced
 }
 
-// Stale tells whether an instance that is not chosen to follow the store is to
-// ask it all the same, and keeps in mind that it did: it goes on until pulses
-// have kept coming for a while.
+// Stale reports whether an instance that is not selected to watch the store must
+// query it. Once it reports true, it does so until announcements have kept
+// arriving for steadyTime.
 func (r *Relayer) Stale(now time.Time, kinds []descriptor.Kind) bool {
-	if now.Sub(r.pulsed) >= staleTime {
-		r.steady = time.Time{}
-		r.asking = r.asking || now.Sub(r.Current(kinds)) >= staleTime
-		return r.asking
+	if now.Sub(r.announced) >= maxConfirmationAge {
+		r.steadySince = time.Time{}
+		r.querying = r.querying || now.Sub(r.Current(kinds)) >= maxConfirmationAge
+		return r.querying
 	}
-	if r.steady.IsZero() {
-		r.steady = now
+	if r.steadySince.IsZero() {
+		r.steadySince = now
 	}
-	r.asking = r.asking && now.Sub(r.steady) < steadyTime
-	return r.asking
+	r.querying = r.querying && now.Sub(r.steadySince) < steadyTime
+	return r.querying
 }
 
-// Pulse returns the next pulse of an instance that follows the store, if one is
-// due: now and then, and at once when its documents changed.
+// Pulse returns the next freshness announcement of an instance that watches the
+// store, and whether one must be sent: every announceInterval, and immediately when
+// the hash sum of the documents changed.
 func (r *Relayer) Pulse(now time.Time, kinds []descriptor.Kind, sum uint64) (descriptor.Pulse, bool) {
 	asOf := r.read(kinds)
-	if asOf.IsZero() || now.Sub(asOf) >= staleTime {
+	if asOf.IsZero() || now.Sub(asOf) >= maxConfirmationAge {
 		return descriptor.Pulse{}, false
 	}
-	news := asOf.Sub(r.sentAsOf)
-	if sum == r.sentSum && (news <= 0 || now.Sub(r.sentAt) < pulseEvery) {
+	advance := asOf.Sub(r.sentAsOf)
+	if sum == r.sentSum && (advance <= 0 || now.Sub(r.sentAt) < announceInterval) {
 		return descriptor.Pulse{}, false
 	}
 	r.sequence++
@@ -165,8 +182,8 @@
 	}, true
 }
 
-// Hear takes in a pulse. It returns the pulse to pass on, and false if it is not
-// newer than the last one of its origin.
+// Hear handles a received freshness announcement. It returns the announcement to
+// forward, and false if it is not newer than the last one of its origin.
 func (r *Relayer) Hear(now time.Time, p descriptor.Pulse) (descriptor.Pulse, bool) {
 	if p.Age < 0 || !r.Newer(p.Origin, p.Incarnation, p.Sequence) {
 		return p, false
@@ -177,8 +194,8 @@
 	return p, true
 }
 
-// Newer takes in the sequence of a message that goes down a tree, and tells
-// whether it is newer than the last one of its origin.
+// Newer records the sequence number of a message that is forwarded along a tree,
+// and reports whether the message is newer than the last one of its origin.
 func (r *Relayer) Newer(id string, incarnation int64, sequence uint64) bool {
 	o, ok := r.origins.Get(id)
 	order := uint64(incarnation) + sequence
@@ -190,13 +207,14 @@
 	return true
 }
 
-// Settle confirms what the pulses of all origins say of the documents with a sum,
-// and tells whether the newest pulse of an origin is about other documents.
+// Settle applies the announcements of all origins to the documents of this
+// instance, which have the given hash sum. It reports whether the newest
+// announcement of the origin from is for other documents.
 func (r *Relayer) Settle(from string, sum uint64) bool {
 	differs := false
 	for id, o := range r.origins.All {
-		if !o.asOf.IsZero() && o.sum == sum && o.asOf.After(r.pulsed) {
-			r.pulsed = o.asOf
+		if !o.asOf.IsZero() && o.sum == sum && o.asOf.After(r.announced) {
+			r.announced = o.asOf
 		}
 		if id == from && o.sum != sum {
 			differs = true
@@ -205,24 +223,24 @@
 	return differs
 }
 
-// Children returns the instances that this one passes the pulses of an origin on
-// to: its part of a tree in which every instance stands once, in an order that
-// differs from origin to origin.
+// Children returns the instances to which self forwards the messages of an origin.
+// They are its children in a tree that holds every instance once, in an order that
+// depends on the origin.
 func Children(self, origin string, members []descriptor.Member) []descriptor.Member {
-	type place struct {
-		weight uint64
+	type node struct {
+		hash   uint64
 		member descriptor.Member
 	}
-	places := make([]place, 0, len(members))
+	nodes := make([]node, 0, len(members))
 	for _, m := range members {
 		if m.ID != origin && m.State < descriptor.Dead {
-			places = append(places, place{xxhash.Sum64String(origin + "/" + m.ID), m})
+			nodes = append(nodes, node{xxhash.Sum64String(origin + "/" + m.ID), m})
 		}
 	}
-	sort.Slice(places, func(i, j int) bool { return places[i].weight < places[j].weight })
+	sort.Slice(nodes, func(i, j int) bool { return nodes[i].hash < nodes[j].hash })
 	position := 0
-	for i, p := range places {
-		if p.member.ID == self {
+	for i, n := range nodes {
+		if n.member.ID == self {
 			position = i + 1
 		}
 	}
@@ -230,8 +248,8 @@
 		return nil
 	}
 	var result []descriptor.Member
-	for i := position*fanout + 1; i <= position*fanout+fanout && i <= len(places); i++ {
-		result = append(result, places[i-1].member)
+	for i := position*fanout + 1; i <= position*fanout+fanout && i <= len(nodes); i++ {
+		result = append(result, nodes[i-1].member)
 	}
 	return result
 }
--- a/relayer/relayer_test.go
+++ b/relayer/relayer_test.go
@@ -26,9 +26,9 @@
 
 func TestChildren(t *testing.T) {
 	for _, n := range []int{1, 2, 9, 48, 133, 1000} {
-		t.Run(fmt.Sprintf("every one of %d hears a pulse once", n), func(t *testing.T) {
+		t.Run(fmt.Sprintf("each of %d instances receives a message once", n), func(t *testing.T) {
 			list := members(n)
-			heard := map[string]int{"entry-0": 1}
+			received := map[string]int{"entry-0": 1}
 			next := []string{"entry-0"}
 			depth := 0
 			for len(next) > 0 {
@@ -37,21 +37,21 @@
 					children := Children(id, "entry-0", list)
 					asserter.AtMost(t, "children", len(children), fanout)
 					for _, m := range children {
-						heard[m.ID]++
+						received[m.ID]++
 						below = append(below, m.ID)
 					}
 				}
 				next = below
 				depth++
 			}
-			asserter.Equal(t, "instances", len(heard), n)
-			for id, times := range heard {
+			asserter.Equal(t, "instances", len(received), n)
+			for id, times := range received {
 				asserter.Equal(t, id, times, 1)
 			}
 			asserter.AtMost(t, "steps", depth, 6)
 		})
 	}
-	t.Run("one given up has no place", func(t *testing.T) {
+	t.Run("a dead instance is not in the tree", func(t *testing.T) {
 		list := members(3)
 		list[1].State = descriptor.Dead
 		children := Children("entry-0", "entry-0", list)
@@ -59,7 +59,7 @@
 	})
 }
 
-// follower returns a relayer that read both kinds at a time.
+// follower returns a relayer that read both kinds from the store at a time.
 func follower(id string, read time.Time) *Relayer {
 	r := New(descriptor.Member{ID: id, Incarnation: 7})
 	for _, k := range kinds {
@@ -72,16 +72,16 @@
 	const sum = 42
 	origin := follower("a", at(0))
 	pulse, ok := origin.Pulse(at(100*time.Millisecond), kinds, sum)
-	asserter.True(t, "due", ok)
+	asserter.True(t, "sent", ok)
 	asserter.Equal(t, "age", pulse.Age, 100)
-	t.Run("confirms the same documents as of then", func(t *testing.T) {
+	t.Run("confirms equal documents as of the time of the read", func(t *testing.T) {
 		r := New(descriptor.Member{ID: "b"})
 		_, ok := r.Hear(at(time.Second), pulse)
 		asserter.True(t, "new", ok)
 		asserter.Equal(t, "differs", r.Settle("a", sum), false)
 		asserter.Equal(t, "current", r.Current(kinds), at(900*time.Millisecond))
 	})
-	t.Run("says nothing of other documents until they are held", func(t *testing.T) {
+	t.Run("does not confirm other documents until they are received", func(t *testing.T) {
 		r := New(descriptor.Member{ID: "b"})
 		r.Hear(at(time.Second), pulse)
 		asserter.Equal(t, "differs", r.Settle("a", sum+1), true)
@@ -89,44 +89,44 @@
 		r.Settle("", sum)
 		asserter.Equal(t, "current with them", r.Current(kinds), at(900*time.Millisecond))
 	})
-	t.Run("is passed on once", func(t *testing.T) {
+	t.Run("is forwarded once", func(t *testing.T) {
 		r := New(descriptor.Member{ID: "b"})
 		r.Hear(at(time.Second), pulse)
 		_, ok := r.Hear(at(time.Second), pulse)
 		asserter.Equal(t, "again", ok, false)
 	})
-	t.Run("is not sent without news of the store", func(t *testing.T) {
+	t.Run("is not sent without a new read of the store", func(t *testing.T) {
 		_, ok := origin.Pulse(at(800*time.Millisecond), kinds, sum)
-		asserter.Equal(t, "due", ok, false)
+		asserter.Equal(t, "sent", ok, false)
 	})
 	t.Run("is sent at once when documents changed", func(t *testing.T) {
 		_, ok := origin.Pulse(at(810*time.Millisecond), kinds, sum+1)
-		asserter.Equal(t, "due", ok, true)
+		asserter.Equal(t, "sent", ok, true)
 	})
-	t.Run("is not sent by one that lost the store", func(t *testing.T) {
+	t.Run("is not sent by an instance that cannot reach the store", func(t *testing.T) {
 		_, ok := origin.Pulse(at(5*time.Second), kinds, sum+2)
-		asserter.Equal(t, "due", ok, false)
+		asserter.Equal(t, "sent", ok, false)
 	})
 }
 
 func TestStale(t *testing.T) {
-	t.Run("silent peers: asks the store itself well within two seconds", func(t *testing.T) {
+	t.Run("without messages from peers, queries the store well within two seconds", func(t *testing.T) {
 		r := follower("b", at(0))
 		asserter.Equal(t, "soon", r.Stale(at(time.Second), kinds), false)
 		asserter.Equal(t, "later", r.Stale(at(1300*time.Millisecond), kinds), true)
 	})
-	t.Run("goes on while it finds the store by itself, until pulses keep coming", func(t *testing.T) {
+	t.Run("keeps querying until announcements keep arriving", func(t *testing.T) {
 		r := follower("b", at(0))
 		r.Stale(at(1300*time.Millisecond), kinds)
 		for _, k := range kinds {
 			r.Confirm(k, at(1400*time.Millisecond))
 		}
-		asserter.Equal(t, "own news", r.Stale(at(1500*time.Millisecond), kinds), true)
+		asserter.Equal(t, "after an own read", r.Stale(at(1500*time.Millisecond), kinds), true)
 		for i := range 6 {
 			now := at(2*time.Second + time.Duration(i)*300*time.Millisecond)
 			r.Hear(now, descriptor.Pulse{Origin: "a", Incarnation: 1, Sequence: uint64(i + 1), Sum: 1})
 			r.Settle("a", 1)
-			asserter.Equal(t, fmt.Sprint("pulse ", i), r.Stale(now, kinds), i < 4)
+			asserter.Equal(t, fmt.Sprint("announcement ", i), r.Stale(now, kinds), i < 4)
 		}
 	})
 }
@@ -137,5 +137,5 @@
 	r.Notice(at(time.Second), at(900*time.Millisecond))
 	asserter.Equal(t, "no outage", r.MayReturn(), time.Time{})
 	r.Notice(at(8*time.Second), at(8*time.Second))
-	asserter.Equal(t, "after an outage", r.MayReturn(), at(8*time.Second+returnTime))
+	asserter.Equal(t, "after an outage", r.MayReturn(), at(8*time.Second+restoreTime))
 }
