--- a/keeper/heir.go
+++ b/keeper/handover.go
@@ -2,12 +2,12 @@
 
 import "monsoonswitch/descriptor"
 
-// inheritPart is the number of keys of one message to an heir.
-const inheritPart = 1000
+// maxHandoverKeys is the maximum number of keys in one handover message.
+const maxHandoverKeys = 1000
 
-// Bequeath stops granting and returns the messages that hand all keys over to
-// heir. No request that holds a key may be open any more.
-func (k *Keeper) Bequeath(heir descriptor.Member) []descriptor.Action {
+// Bequeath stops granting keys and returns the messages that hand over all keys to
+// successor. No request that holds a key may be open when it is called.
+func (k *Keeper) Bequeath(successor descriptor.Member) []descriptor.Action {
 	k.closed = true
 	parts := []descriptor.Inherit{{
 		Instance:    k.self.ID,
@@ -17,7 +17,7 @@
 	for _, key := range k.keys.Keys() {
 		r, _ := k.keys.Get(key)
 		last := &parts[len(parts)-1]
-		if len(last.Keys) == inheritPart {
+		if len(last.Keys) == maxHandoverKeys {
 			parts = append(parts, descriptor.Inherit{
 				Instance:    k.self.ID,
 				Incarnation: k.self.Incarnation,
@@ -31,16 +31,17 @@
 	parts[len(parts)-1].Total = k.keys.Len()
 	var actions []descriptor.Action
 	for _, p := range parts {
-		actions = append(actions, descriptor.Send{To: heir, Message: p})
+		actions = append(actions, descriptor.Send{To: successor, Message: p})
 	}
-	return append(actions, k.passOn(heir)...)
+	return append(actions, k.handOverIssuers(successor)...)
 }
 
-// passOn hands over the issuers whose keys this instance took over itself.
-func (k *Keeper) passOn(heir descriptor.Member) []descriptor.Action {
+// handOverIssuers hands over the responsibility for the issuers whose keys this
+// instance took over itself.
+func (k *Keeper) handOverIssuers(successor descriptor.Member) []descriptor.Action {
 	var actions []descriptor.Action
-	for _, h := range k.heritages {
-		actions = append(actions, descriptor.Send{To: heir, Message: descriptor.Inherit{
+	for _, h := range k.takeovers {
+		actions = append(actions, descriptor.Send{To: successor, Message: descriptor.Inherit{
 			Instance:    h.from.instance,
 			Incarnation: h.from.incarnation,
 			Floor:       h.floor,
@@ -50,8 +51,9 @@
 	return actions
 }
 
-// HearInherit takes keys over. After the last part this instance decides about
-// the keys of the issuer that left.
+// HearInherit stores the keys of one handover message. After the last message this
+// instance decides about the keys of the issuer that left, unless a message was
+// lost: then these keys stay unsettled.
 func (k *Keeper) HearInherit(m descriptor.Inherit) {
 	for _, r := range m.Keys {
 		if r.State < int(stateRunning) || r.State > int(stateFree) || len(r.Key) > 2*MaxKey {
@@ -70,20 +72,20 @@
 	if received != m.Total {
 		return
 	}
-	if len(k.heritages) == maxHeritages {
-		k.heritages = k.heritages[1:]
+	if len(k.takeovers) == maxTakeovers {
+		k.takeovers = k.takeovers[1:]
 	}
-	k.heritages = append(k.heritages, heritage{
+	k.takeovers = append(k.takeovers, takeover{
 		from:  from,
 		floor: m.Floor,
 	})
 }
 
-// Dump returns the state of the keys.
+// Dump returns the numbers of keys and of waiting requests.
 func (k *Keeper) Dump() descriptor.KeyDump {
 	return descriptor.KeyDump{
 		Held:    k.keys.Len(),
 		Parked:  k.waiting.Len(),
-		Dropped: k.forgotten,
+		Dropped: k.dropped,
 	}
 }
--- a/keeper/keeper.go
+++ b/keeper/keeper.go
@@ -7,39 +7,43 @@
 	"monsoonswitch/descriptor"
 )
 
-// Parameters of the keys.
+// Limits of keys, claims and handovers.
 const (
-	// generationKeys is the number of keys of one generation; two are held.
+	// generationKeys is the number of keys in one generation; two generations are
+	// kept.
 	generationKeys = 32768
-	// claimWait is how long a request waits for the issuer of its key.
+	// claimWait is the time that a request waits for the issuer of its key.
 	claimWait = time.Second
-	// storeWait is how long a request waits for a claim in the store.
+	// storeWait is the time that a request waits for a claim in the store.
 	storeWait = 2 * time.Second
-	// claimRate bounds the claims that one instance writes to the store, and
-	// fleetClaims those of all instances together, per second.
+	// claimRate is the maximum number of claims per second that one instance
+	// writes to the store, and fleetClaims that of all instances together.
 	claimRate   = 4.0
 	fleetClaims = 150.0
-	// claimBurst bounds the claims of one instance at once.
+	// claimBurst is the maximum number of claims of one instance at once.
 	claimBurst = 16.0
-	// maxHeritages bounds the issuers whose keys were taken over.
-	maxHeritages = 64
+	// maxTakeovers is the maximum number of issuers whose keys are taken over; the
+	// oldest one is dropped.
+	maxTakeovers = 64
 )
 
-// state tells what is known of a key.
+// state is the state of the work of a key.
 type state int
 
 const (
 	stateRunning state = iota
 	stateRan
+	// stateUncertain marks work that may have run.
 	stateUncertain
-	// stateFree marks a bare key claimed in the store whose work did not run.
+	// stateFree marks a caller-made key that was claimed in the store and whose
+	// work did not run, so that this instance may run it again.
 	stateFree
 )
 
-// record is what is known of one key.
+// record is the state of one key with the instance that holds its grant.
 type record struct {
 	state state
-	// holder is the instance that runs it.
+	// holder is the instance that was granted the key.
 	holder string
 }
 
@@ -49,27 +53,28 @@
 	return r
 }
 
-// parked is a request that waits for a claim.
+// parked is a request that waits for the answer to a claim.
 type parked struct {
 	arrived descriptor.Arrived
 	key     string
 	until   time.Time
-	// issuer is the instance asked, or empty for the store.
+	// issuer is the instance that was sent the claim, or empty for the store.
 	issuer string
 }
 
-// held is the key of a request that was let through.
+// held is the key of a request that was admitted.
 type held struct {
 	key string
-	// issuer is the instance to settle with, or empty for this one.
+	// issuer is the instance that granted the key, or zero for this one.
 	issuer descriptor.Member
-	bare   bool
+	// callerMade is set for a key that was claimed in the store.
+	callerMade bool
 }
 
-// heritage is what remains of an issuer that left.
-type heritage struct {
+// takeover is an issuer that left and whose keys this instance took over.
+type takeover struct {
 	from issuer
-	// floor is the newest epoch whose keys may have been forgotten.
+	// floor is the newest epoch with keys that may have been dropped.
 	floor uint64
 }
 
@@ -78,15 +83,15 @@
 
 // Verdicts.
 const (
-	// Proceed lets the request run.
+	// Proceed admits the request.
 	Proceed Verdict = iota
-	// Wait parks the request.
+	// Wait keeps the request until its claim is answered.
 	Wait
 	// Reject refuses the request with Reason and Outcome.
 	Reject
 )
 
-// Decision is a verdict with the reason of a refusal.
+// Decision is a verdict. Reason and Outcome are set for Reject.
 type Decision struct {
 	Verdict Verdict
 	Reason  descriptor.Reason
@@ -99,30 +104,36 @@
 	Member(id string) (descriptor.Member, bool)
 }
 
-// Keeper holds the keys of one instance. It belongs to one goroutine.
+// Keeper holds the idempotency keys of one instance. It is not safe for concurrent
+// use.
 type Keeper struct {
 	self    descriptor.Member
 	members Members
 	// next returns an unused write ID.
 	next func() descriptor.WriteID
 
-	// newestEpoch is the newest epoch of a key so far, closedEpoch what it was
-	// at the last change of generation, and floor at the change before: keys
-	// of epochs up to floor may have been forgotten.
+	// newestEpoch is the newest epoch of any granted key. closedEpoch is its value
+	// at the last change of generation, and floor its value at the change before:
+	// keys of epochs up to floor may have been dropped.
 	newestEpoch, closedEpoch, floor uint64
 	keys                            *container.Generations[string, record]
-	heritages                       []heritage
-	// receiving counts the keys received so far from each issuer that leaves.
+	takeovers                       []takeover
+	// receiving counts the keys received so far in each unfinished handover.
 	receiving *container.Table[issuer, int]
-	closed    bool
-	forgotten uint64
+	// closed is set once the keys were handed over.
+	closed bool
+	// dropped counts the keys dropped to bound memory.
+	dropped uint64
 
+	// waiting holds the requests that wait for the answer to a claim.
 	waiting *container.Table[descriptor.RequestID, parked]
-	writes  *container.Table[descriptor.WriteID, descriptor.RequestID]
-	holds   *container.Table[descriptor.RequestID, held]
+	// writes holds the request of each claim written to the store.
+	writes *container.Table[descriptor.WriteID, descriptor.RequestID]
+	// holds holds the keys of the admitted requests that have not ended.
+	holds *container.Table[descriptor.RequestID, held]
 
-	// tokens is the number of claims that may be written now; it grows by
-	// rate a second.
+	// tokens is the number of claims that may be written now. It grows by rate
+	// per second up to claimBurst and was updated at tokensAt.
 	tokens   float64
 	tokensAt time.Time
 	rate     float64
@@ -145,13 +156,16 @@
 	}
 }
 
-// SetFleet sets the number of instances that share the store.
+// SetFleet sets the number of instances that share the store, which bounds the rate
+// of claims of each one.
 func (k *Keeper) SetFleet(n int) { k.rate = min(claimRate, fleetClaims/float64(max(1, n))) }
 
-// Waiting returns the number of parked requests.
+// Waiting returns the number of requests that wait for the answer to a claim.
 func (k *Keeper) Waiting() int { return k.waiting.Len() }
 
-// Begin decides about a request for non-idempotent work.
+// Begin decides about a request for non-idempotent work, and returns the claim to
+// send or write if the verdict is Wait. Requests without a key are admitted if
+// keyless is set.
 func (k *Keeper) Begin(e descriptor.Arrived, keyless bool) (Decision, []descriptor.Action) {
 	if e.Key == "" {
 		if keyless {
@@ -163,25 +177,25 @@
 	if err != nil {
 		return reject(descriptor.KeyInvalid, descriptor.NotRun), nil
 	}
-	key := scoped(e.Service, e.Key)
+	key := scopedKey(e.Service, e.Key)
 	if !issued {
-		return k.beginBare(e, key)
+		return k.beginCallerMade(e, key)
 	}
 	if k.grants(ticket) {
-		return k.beginOwn(e, ticket, key), nil
+		return k.beginLocal(e, ticket, key), nil
 	}
-	return k.beginForeign(e, ticket, key)
+	return k.beginRemote(e, ticket, key)
 }
 
-// scoped joins a key with its service: the same key means different work in
-// different services.
-func scoped(service, key string) string { return service + "/" + key }
+// scopedKey prefixes a key with its service, because the same key stands for
+// different work in different services.
+func scopedKey(service, key string) string { return service + "/" + key }
 
 func reject(reason descriptor.Reason, outcome descriptor.Outcome) Decision {
 	return Decision{Verdict: Reject, Reason: reason, Outcome: outcome}
 }
 
-// grants tells whether this instance decides about keys of a ticket.
+// grants reports whether this instance decides about the keys of a ticket.
 func (k *Keeper) grants(t Ticket) bool {
 	if k.closed {
 		return false
@@ -189,20 +203,21 @@
 	if t.Instance == k.self.ID && t.Incarnation == k.self.Incarnation {
 		return true
 	}
-	_, ok := k.heritage(t)
+	_, ok := k.takeover(t)
 	return ok
 }
 
-func (k *Keeper) heritage(t Ticket) (heritage, bool) {
-	for _, h := range k.heritages {
+// takeover returns the takeover of the issuer of a ticket, if there is one.
+func (k *Keeper) takeover(t Ticket) (takeover, bool) {
+	for _, h := range k.takeovers {
 		if h.from == t.issuer() {
 			return h, true
 		}
 	}
-	return heritage{}, false
+	return takeover{}, false
 }
 
-func (k *Keeper) beginOwn(e descriptor.Arrived, t Ticket, key string) Decision {
+func (k *Keeper) beginLocal(e descriptor.Arrived, t Ticket, key string) Decision {
 	d := k.grant(e.At, t, key, k.self.ID)
 	if d.Verdict == Proceed {
 		k.holds.Put(e.Request, held{key: key})
@@ -210,11 +225,12 @@
 	return d
 }
 
-// grant gives holder the right to run a key, once.
+// grant decides about a key of a ticket that this instance decides about. It grants
+// each key once, to holder.
 func (k *Keeper) grant(now time.Time, t Ticket, key, holder string) Decision {
 	r, ok := k.keys.Get(key)
 	if ok {
-		return known(r)
+		return refuseKnown(r)
 	}
 	if t.Epoch <= k.floorOf(t) {
 		return reject(descriptor.KeyUnsettled, descriptor.MayHaveRun)
@@ -227,16 +243,18 @@
 	return Decision{Verdict: Proceed}
 }
 
-// floorOf returns the newest epoch of the issuer whose keys may be forgotten.
+// floorOf returns the newest epoch of a ticket's issuer with keys that may have
+// been dropped.
 func (k *Keeper) floorOf(t Ticket) uint64 {
 	if t.issuer() != (issuer{k.self.ID, k.self.Incarnation}) {
-		h, _ := k.heritage(t)
+		h, _ := k.takeover(t)
 		return h.floor
 	}
 	return k.floor
 }
 
-func known(r record) Decision {
+// refuseKnown returns the refusal of a request whose key has a record.
+func refuseKnown(r record) Decision {
 	switch r.state {
 	case stateRan:
 		return reject(descriptor.KeyUsed, descriptor.Ran)
@@ -246,22 +264,22 @@
 	return reject(descriptor.KeyUnsettled, descriptor.MayHaveRun)
 }
 
-// put stores a record. Keys of a dropped generation are unknown from then on,
-// so their epochs are closed.
+// put stores a record. If that drops a generation of keys, the epochs of these keys
+// are closed, because a dropped key can't be told from a new one.
 func (k *Keeper) put(key string, r record) {
 	if !k.keys.Put(key, r) {
 		return
 	}
 	k.floor = k.closedEpoch
-	for i := range k.heritages {
-		k.heritages[i].floor = ^uint64(0)
+	for i := range k.takeovers {
+		k.takeovers[i].floor = ^uint64(0)
 	}
 	k.closedEpoch = k.newestEpoch
-	k.forgotten += generationKeys
+	k.dropped += generationKeys
 }
 
-// beginForeign asks the issuer of a key, or its heir.
-func (k *Keeper) beginForeign(e descriptor.Arrived, t Ticket, key string) (Decision, []descriptor.Action) {
+// beginRemote sends a claim to the issuer of a key, or to its successor.
+func (k *Keeper) beginRemote(e descriptor.Arrived, t Ticket, key string) (Decision, []descriptor.Action) {
 	issuer, ok := k.decider(t)
 	if !ok {
 		return reject(descriptor.KeyUnsettled, descriptor.MayHaveRun), nil
@@ -271,7 +289,8 @@
 	return Decision{Verdict: Wait}, []descriptor.Action{descriptor.Send{To: issuer, Message: claim}}
 }
 
-// decider returns the instance that decides about the keys of a ticket.
+// decider returns the other instance that decides about the keys of a ticket, and
+// whether there is a live one.
 func (k *Keeper) decider(t Ticket) (descriptor.Member, bool) {
 	m, ok := k.members.Member(t.Instance)
 	if !ok || m.Incarnation != t.Incarnation || m.ID == k.self.ID {
@@ -280,11 +299,12 @@
 	if m.State != descriptor.Left {
 		return m, m.State != descriptor.Dead
 	}
-	heir, ok := k.members.Member(m.Heir)
-	return heir, ok && heir.State < descriptor.Dead && heir.ID != k.self.ID
+	successor, ok := k.members.Member(m.Heir)
+	return successor, ok && successor.State < descriptor.Dead && successor.ID != k.self.ID
 }
 
-// End records how a request that was let through ended.
+// End records how an admitted request ended. It returns the message to the issuer
+// of its key, if that is another instance.
 func (k *Keeper) End(id descriptor.RequestID, outcome descriptor.Outcome) []descriptor.Action {
 	h, ok := k.holds.Get(id)
 	if !ok {
@@ -295,11 +315,11 @@
 		settle := descriptor.Settle{Key: h.key, Outcome: outcome}
 		return []descriptor.Action{descriptor.Send{To: h.issuer, Message: settle}}
 	}
-	k.settle(h.key, outcome, h.bare)
+	k.settle(h.key, outcome, h.callerMade)
 	return nil
 }
 
-func (k *Keeper) settle(key string, outcome descriptor.Outcome, bare bool) {
+func (k *Keeper) settle(key string, outcome descriptor.Outcome, callerMade bool) {
 	r, ok := k.keys.Get(key)
 	if !ok {
 		r = record{holder: k.self.ID}
@@ -309,20 +329,20 @@
 		k.put(key, r.WithState(stateRan))
 	case outcome == descriptor.MayHaveRun:
 		k.put(key, r.WithState(stateUncertain))
-	case bare:
+	case callerMade:
 		k.put(key, r.WithState(stateFree))
 	default:
 		k.keys.Delete(key)
 	}
 }
 
-// HearClaim answers a claim of another instance.
+// HearClaim returns the answer to a claim of another instance.
 func (k *Keeper) HearClaim(now time.Time, from descriptor.Member, m descriptor.Claim) []descriptor.Action {
-	verdict := descriptor.Verdict{Request: m.Request, Key: scoped(m.Service, m.Key)}
+	verdict := descriptor.Verdict{Request: m.Request, Key: scopedKey(m.Service, m.Key)}
 	ticket, issued, err := ParseKey(m.Key)
 	d := reject(descriptor.KeyUnsettled, descriptor.MayHaveRun)
 	if err == nil && issued && k.grants(ticket) {
-		d = k.grant(now, ticket, scoped(m.Service, m.Key), from.ID)
+		d = k.grant(now, ticket, scopedKey(m.Service, m.Key), from.ID)
 	}
 	verdict.Granted = d.Verdict == Proceed
 	verdict.Reason = d.Reason
@@ -330,8 +350,8 @@
 	return []descriptor.Action{descriptor.Send{To: from, Message: verdict}}
 }
 
-// HearSettle records how a granted run at another instance ended. Only the
-// holder of the grant can settle it.
+// HearSettle records how a granted run at another instance ended. A message from an
+// instance that does not hold the grant is ignored.
 func (k *Keeper) HearSettle(from string, m descriptor.Settle) {
 	r, ok := k.keys.Get(m.Key)
 	if ok && r.holder == from {
@@ -339,20 +359,22 @@
 	}
 }
 
-// Settled is a parked request that can go on.
+// Settled is a request that no longer waits, with the decision about it.
 type Settled struct {
 	Arrived  descriptor.Arrived
 	Decision Decision
 }
 
-// HearVerdict takes in the answer to a claim and returns the request that can go
-// on. A grant for a request that no longer waits is given back.
+// HearVerdict handles the answer to a claim and returns the request that no longer
+// waits, if any. A grant for a request that is not waiting is returned to the
+// issuer.
 func (k *Keeper) HearVerdict(from descriptor.Member, m descriptor.Verdict) (Settled, bool, []descriptor.Action) {
 	p, ok := k.waiting.Get(m.Request)
-	// Request IDs begin anew with each incarnation: a verdict for an earlier
-	// one must not pass for this request's.
-	if !ok || p.issuer != from.ID || m.Key != scoped(p.arrived.Service, p.key) {
-		return Settled{}, false, giveBack(from, m)
+	// Request IDs restart with each incarnation, so the key is compared too: a
+	// verdict for a request of an earlier incarnation must not be applied to
+	// this request.
+	if !ok || p.issuer != from.ID || m.Key != scopedKey(p.arrived.Service, p.key) {
+		return Settled{}, false, returnGrant(from, m)
 	}
 	k.waiting.Delete(m.Request)
 	if !m.Granted {
@@ -362,7 +384,8 @@
 	return Settled{p.arrived, Decision{Verdict: Proceed}}, true, nil
 }
 
-func giveBack(from descriptor.Member, m descriptor.Verdict) []descriptor.Action {
+// returnGrant returns a grant to its issuer by settling it as not run.
+func returnGrant(from descriptor.Member, m descriptor.Verdict) []descriptor.Action {
 	if !m.Granted {
 		return nil
 	}
@@ -370,7 +393,7 @@
 	return []descriptor.Action{descriptor.Send{To: from, Message: settle}}
 }
 
-// Forget drops a parked request whose caller left and returns it.
+// Forget removes a waiting request whose caller disconnected and returns it.
 func (k *Keeper) Forget(id descriptor.RequestID) (descriptor.Arrived, bool) {
 	p, ok := k.waiting.Get(id)
 	k.waiting.Delete(id)
--- a/keeper/store.go
+++ b/keeper/store.go
@@ -6,15 +6,16 @@
 	"monsoonswitch/descriptor"
 )
 
-// beginBare claims a key made by its caller alone in the platform's store, where
-// every instance finds the claim.
-func (k *Keeper) beginBare(e descriptor.Arrived, key string) (Decision, []descriptor.Action) {
+// beginCallerMade decides about a caller-made key, which has no issuer. Unless this
+// instance already claimed the key, it writes a claim to the platform's store,
+// where every instance finds it.
+func (k *Keeper) beginCallerMade(e descriptor.Arrived, key string) (Decision, []descriptor.Action) {
 	if r, ok := k.keys.Get(key); ok {
 		if r.state != stateFree {
-			return known(r), nil
+			return refuseKnown(r), nil
 		}
 		k.put(key, r.WithState(stateRunning))
-		k.holds.Put(e.Request, held{key: key, bare: true})
+		k.holds.Put(e.Request, held{key: key, callerMade: true})
 		return Decision{Verdict: Proceed}, nil
 	}
 	if !k.takeToken(e.At) {
@@ -32,6 +33,7 @@
 	}}
 }
 
+// takeToken reports whether a claim may be written now, and takes a token for it.
 func (k *Keeper) takeToken(now time.Time) bool {
 	k.tokens = min(claimBurst, k.tokens+k.rate*now.Sub(k.tokensAt).Seconds())
 	k.tokensAt = now
@@ -42,7 +44,8 @@
 	return true
 }
 
-// Written takes in the end of a claim in the store.
+// Written handles the result of writing a claim to the store and returns the
+// request that no longer waits, if any.
 func (k *Keeper) Written(e descriptor.Written) (Settled, bool) {
 	id, ok := k.writes.Get(e.Write)
 	if !ok {
@@ -57,7 +60,7 @@
 	switch e.Result {
 	case descriptor.WriteAccepted:
 		k.put(p.key, record{state: stateRunning, holder: k.self.ID})
-		k.holds.Put(id, held{key: p.key, bare: true})
+		k.holds.Put(id, held{key: p.key, callerMade: true})
 		return Settled{p.arrived, Decision{Verdict: Proceed}}, true
 	case descriptor.WriteConflict:
 		return Settled{p.arrived, reject(descriptor.KeyUnsettled, descriptor.MayHaveRun)}, true
@@ -65,10 +68,11 @@
 	return Settled{p.arrived, reject(descriptor.ClaimUnavailable, descriptor.NotRun)}, true
 }
 
-// Tick returns the parked requests whose wait is over. A request that waited for the issuer of its key in vain may have run elsewhere;
-// one that waited for the store did not run under this claim.
+// Tick returns the requests whose wait timed out. The work of a request that got no
+// answer from the issuer of its key may have run at another instance; the work of
+// one that waited for the store did not run under its claim.
 func (k *Keeper) Tick(now time.Time) []Settled {
-	var late []Settled
+	var expired []Settled
 	for _, p := range k.waiting.All {
 		if now.Before(p.until) {
 			continue
@@ -77,10 +81,10 @@
 		if p.issuer == "" {
 			d = reject(descriptor.ClaimUnavailable, descriptor.NotRun)
 		}
-		late = append(late, Settled{p.arrived, d})
+		expired = append(expired, Settled{p.arrived, d})
 	}
-	for _, s := range late {
+	for _, s := range expired {
 		k.waiting.Delete(s.Arrived.Request)
 	}
-	return late
+	return expired
 }
--- a/keeper/ticket.go
+++ b/keeper/ticket.go
@@ -1,6 +1,6 @@
 // Package keeper decides whether non-idempotent work with an idempotency key may
-// run. The instance that issued the prefix of a key is the only one that grants
-// it, and it grants it once.
+// run. A key is granted only by the instance that its prefix, the ticket, names as
+// issuer, or by that instance's successor, and it is granted once.
 package keeper
 
 import (
@@ -13,44 +13,47 @@
 	"monsoonswitch/descriptor"
 )
 
-// ErrKey reports an idempotency key that can't be used.
+// ErrKey is the error for a malformed idempotency key.
 var ErrKey = eris.New("invalid idempotency key")
 
 const (
-	// MaxKey bounds the length of a key in bytes.
+	// MaxKey is the maximum length of a key in bytes.
 	MaxKey = 200
-	// ticketMark begins every key with an issuer.
+	// ticketMark is the first part of every key that has a ticket.
 	ticketMark = "m1"
-	// ticketParts is the number of parts of a key with an issuer.
+	// ticketParts is the number of dot-separated parts of a key that has a ticket.
 	ticketParts = 5
 )
 
-// Ticket is the prefix of the keys that one instance issued in one epoch.
+// Ticket is the common prefix of the keys that name one instance as issuer in one
+// epoch.
 type Ticket struct {
 	// Instance and Incarnation identify the issuer.
 	Instance    string
 	Incarnation int64
-	// Epoch is the time of issue as EpochAt gives it.
+	// Epoch is the epoch of the time of issue; see EpochAt.
 	Epoch uint64
 }
 
 const (
 	// epochTime is the length of an epoch.
 	epochTime = time.Minute
-	// epochSlack is the number of epochs by which clocks may differ.
+	// epochSlack is the maximum number of epochs by which the clocks of two
+	// instances may differ.
 	epochSlack = 3
 )
 
-// EpochAt returns the epoch at now.
+// EpochAt returns the epoch at now, counted from the Unix epoch.
 func EpochAt(now time.Time) uint64 { return uint64(now.Unix()) / uint64(epochTime/time.Second) }
 
-// TicketOf returns the ticket of an instance at now. Any instance can hand it
-// out; only the instance that it names decides about its keys.
+// TicketOf returns the ticket of an instance at now. Any instance can give it to
+// callers; only the named instance decides about its keys.
 func TicketOf(m descriptor.Member, now time.Time) Ticket {
 	return Ticket{Instance: m.ID, Incarnation: m.Incarnation, Epoch: EpochAt(now)}
 }
 
-// String returns the prefix without the part that the caller adds.
+// String returns the ticket as it stands in keys, without the dot and the unique
+// part that the caller appends.
 func (t Ticket) String() string {
 	return strings.Join([]string{
 		ticketMark,
@@ -60,14 +63,15 @@
 	}, ".")
 }
 
-// ParseKey returns the ticket of a key and whether it has one.
+// ParseKey returns the ticket of a key and whether it has one. It returns ErrKey if
+// the key is too long, not printable ASCII, or has a malformed ticket.
 func ParseKey(key string) (Ticket, bool, error) {
 	if len(key) > MaxKey {
-		return Ticket{}, false, eris.Wrapf(ErrKey, "longer than %d bytes", MaxKey)
+		return Ticket{}, false, eris.Wrapf(ErrKey, "key longer than %d bytes", MaxKey)
 	}
 	for _, c := range key {
 		if c <= ' ' || c > '~' {
-			return Ticket{}, false, eris.Wrap(ErrKey, "not printable ASCII")
+			return Ticket{}, false, eris.Wrap(ErrKey, "key is not printable ASCII")
 		}
 	}
 	if !strings.HasPrefix(key, ticketMark+".") {
@@ -79,16 +83,16 @@
 	}
 	incarnation, err := strconv.ParseInt(parts[2], 36, 64)
 	if err != nil {
-		return Ticket{}, false, eris.Wrap(ErrKey, "incarnation of ticket")
+		return Ticket{}, false, eris.Wrap(ErrKey, "invalid incarnation in ticket")
 	}
 	epoch, err := strconv.ParseUint(parts[3], 36, 64)
 	if err != nil {
-		return Ticket{}, false, eris.Wrap(ErrKey, "epoch of ticket")
+		return Ticket{}, false, eris.Wrap(ErrKey, "invalid epoch in ticket")
 	}
 	return Ticket{Instance: parts[1], Incarnation: incarnation, Epoch: epoch}, true, nil
 }
 
-// issuer is the part of the ticket that names the issuer.
+// issuer returns the issuer named by the ticket.
 func (t Ticket) issuer() issuer { return issuer{t.Instance, t.Incarnation} }
 
 // issuer is one incarnation of an instance.
