--- a/counter/counter.go
+++ b/counter/counter.go
@@ -1,6 +1,5 @@
-// Package counter counts how requests end. Counts only grow within an
-// incarnation of an instance, so that reports that come twice or out of order
-// change nothing.
+// Package counter counts how requests end. Counts never decrease within an
+// incarnation of an instance, so duplicated or reordered reports are harmless.
 package counter
 
 import (
@@ -11,75 +10,81 @@
 	"monsoonswitch/descriptor"
 )
 
-// Times of tallies.
+// Intervals and limits of reports.
 const (
-	// flushEvery is the time between reports of changed counts to the writer.
-	flushEvery = 2 * time.Second
-	// resendEvery is the time after which an unconfirmed report is sent again.
-	resendEvery = 6 * time.Second
-	// maxRevisions bounds the revisions remembered for a service.
+	// reportInterval is the minimum time between reports of changed counts to the
+	// writer.
+	reportInterval = 2 * time.Second
+	// resendInterval is the time after which a report without a receipt is sent
+	// again.
+	resendInterval = 6 * time.Second
+	// maxRevisions is the maximum number of revisions kept for a service.
 	maxRevisions = 32
 )
 
-// countKey separates the counts of a service.
+// countKey identifies one count of a service.
 type countKey struct {
 	class   string
 	reason  descriptor.Reason
 	outcome descriptor.Outcome
 }
 
-// sheet holds the counts of one service.
-type sheet struct {
+// serviceCounts holds the counts of one service.
+type serviceCounts struct {
 	counts *container.Table[countKey, descriptor.Count]
-	// latency holds the numbers of served requests by bucket.
-	latency            []uint64
-	received           uint64
-	ended              uint64
-	ejections          uint64
+	// latency holds the number of served requests in each latency bucket.
+	latency   []uint64
+	received  uint64
+	ended     uint64
+	ejections uint64
+	// version grows with each change; confirmed is the latest version in the
+	// store.
 	version, confirmed uint64
-	since              time.Time
-	revisions          []descriptor.InForce
-	// sent is the version last reported, at sentAt.
+	// since is the time from which on the counts are kept.
+	since     time.Time
+	revisions []descriptor.InForce
+	// sent is the last version reported, and sentAt the time of that report.
 	sent   uint64
 	sentAt time.Time
 }
 
-// Counter holds the counts of one instance. It belongs to one goroutine.
+// Counter holds the counts of one instance. It is not safe for concurrent use.
 type Counter struct {
-	self   descriptor.Member
-	sheets *container.Table[string, *sheet]
-	// final tells that the instance takes no more requests.
+	self     descriptor.Member
+	services *container.Table[string, *serviceCounts]
+	// final is set when the instance accepts no more requests.
 	final bool
 }
 
 // New returns a counter without counts.
 func New(self descriptor.Member) *Counter {
-	return &Counter{self: self, sheets: container.NewTable[string, *sheet]()}
+	return &Counter{self: self, services: container.NewTable[string, *serviceCounts]()}
 }
 
-func (c *Counter) sheet(service string, now time.Time) *sheet {
-	s, ok := c.sheets.Get(service)
+// serviceCounts returns the counts of a service and creates them if needed.
+func (c *Counter) serviceCounts(service string, now time.Time) *serviceCounts {
+	s, ok := c.services.Get(service)
 	if !ok {
-		s = &sheet{
+		s = &serviceCounts{
 			counts:  container.NewTable[countKey, descriptor.Count](),
 			latency: make([]uint64, descriptor.LatencyBuckets),
 			since:   now,
 		}
-		c.sheets.Put(service, s)
+		c.services.Put(service, s)
 	}
 	return s
 }
 
-// Receive counts a request that arrived.
+// Receive counts a new request.
 func (c *Counter) Receive(now time.Time, service string) {
-	s := c.sheet(service, now)
+	s := c.serviceCounts(service, now)
 	s.received++
 	s.version++
 }
 
 // End counts how a request ended.
 func (c *Counter) End(now time.Time, service, class string, reason descriptor.Reason, outcome descriptor.Outcome, bytes uint64, latency time.Duration) {
-	s := c.sheet(service, now)
+	s := c.serviceCounts(service, now)
 	k := countKey{class, reason, outcome}
 	count, ok := s.counts.Get(k)
 	if !ok {
@@ -95,16 +100,16 @@
 	s.version++
 }
 
-// Eject counts an ejection that this instance decided.
+// Eject counts an ejection decided by this instance.
 func (c *Counter) Eject(now time.Time, service string) {
-	s := c.sheet(service, now)
+	s := c.serviceCounts(service, now)
 	s.ejections++
 	s.version++
 }
 
 // InForce records a revision that came into force.
 func (c *Counter) InForce(now time.Time, service string, revision uint64) {
-	s := c.sheet(service, now)
+	s := c.serviceCounts(service, now)
 	s.revisions = append(s.revisions, descriptor.InForce{Revision: revision, At: now})
 	if len(s.revisions) > maxRevisions {
 		s.revisions = s.revisions[1:]
@@ -118,21 +123,21 @@
 		return
 	}
 	c.final = true
-	for _, s := range c.sheets.All {
+	for _, s := range c.services.All {
 		s.version++
 	}
 }
 
-// Tally returns the counts of a service.
+// Tally returns the counts of a service, and whether there are any.
 func (c *Counter) Tally(now time.Time, service string) (descriptor.Tally, bool) {
-	s, ok := c.sheets.Get(service)
+	s, ok := c.services.Get(service)
 	if !ok {
 		return descriptor.Tally{}, false
 	}
 	return c.tally(service, s, now), true
 }
 
-func (c *Counter) tally(service string, s *sheet, now time.Time) descriptor.Tally {
+func (c *Counter) tally(service string, s *serviceCounts, now time.Time) descriptor.Tally {
 	t := descriptor.Tally{
 		Service:     service,
 		Instance:    c.self.ID,
@@ -164,19 +169,20 @@
 	return a.Outcome < b.Outcome
 }
 
-// Due returns the tallies to report now: those that changed, and those not
-// confirmed for long.
+// Due returns the tallies to report now and marks them as sent: changed ones after
+// reportInterval, and unconfirmed ones again after resendInterval.
 func (c *Counter) Due(now time.Time) []descriptor.Tally {
 	var due []descriptor.Tally
-	for service, s := range c.sheets.All {
+	for service, s := range c.services.All {
 		if s.version == s.confirmed {
 			continue
 		}
-		wait := flushEvery
+		wait := reportInterval
 		if s.sent == s.version {
-			wait = resendEvery
+			wait = resendInterval
 		}
 		if c.final {
+			// The shutdown of the instance waits for the receipts.
 			wait /= 4
 		}
 		if now.Sub(s.sentAt) < wait {
@@ -189,18 +195,18 @@
 	return due
 }
 
-// Confirm takes in that a version reached the store.
+// Confirm handles the receipt for a version that was written to the store.
 func (c *Counter) Confirm(r descriptor.Receipt) {
-	s, ok := c.sheets.Get(r.Service)
+	s, ok := c.services.Get(r.Service)
 	if ok && r.Incarnation == c.self.Incarnation && r.Version > s.confirmed {
 		s.confirmed = r.Version
 	}
 }
 
-// Unconfirmed returns the number of services with counts not yet in the store.
+// Unconfirmed returns the number of services with counts that are not in the store.
 func (c *Counter) Unconfirmed() int {
 	n := 0
-	for _, s := range c.sheets.All {
+	for _, s := range c.services.All {
 		if s.version != s.confirmed {
 			n++
 		}
--- a/counter/counter_test.go
+++ b/counter/counter_test.go
@@ -21,8 +21,8 @@
 	return t
 }
 
-// bench is a writer before a store.
-type bench struct {
+// storeSimulation is a writer with a simulated store.
+type storeSimulation struct {
 	t        *testing.T
 	writer   *Writer
 	stored   []descriptor.Tally
@@ -30,8 +30,8 @@
 	next     descriptor.WriteID
 }
 
-func newBench(t *testing.T) *bench {
-	x := &bench{t: t}
+func newStoreSimulation(t *testing.T) *storeSimulation {
+	x := &storeSimulation{t: t}
 	x.writer = NewWriter(descriptor.Member{ID: "w"}, func() descriptor.WriteID {
 		x.next++
 		return x.next
@@ -39,8 +39,8 @@
 	return x
 }
 
-// write carries the writes that are due to the store and returns the receipts.
-func (x *bench) write(now time.Time) []Addressed {
+// write applies the scheduled writes to the store and returns the receipts.
+func (x *storeSimulation) write(now time.Time) []Addressed {
 	var receipts []Addressed
 	for _, a := range x.writer.Due(now, 3) {
 		w := a.(descriptor.WriteTallies)
@@ -56,7 +56,8 @@
 	return receipts
 }
 
-func (x *bench) received() uint64 {
+// received returns the number of received requests in the stored tallies.
+func (x *storeSimulation) received() uint64 {
 	var sum uint64
 	for _, t := range x.stored {
 		sum += t.Received
@@ -65,24 +66,24 @@
 }
 
 func TestWriter(t *testing.T) {
-	t.Run("older and repeated tallies change nothing", func(t *testing.T) {
-		x := newBench(t)
+	t.Run("older and repeated tallies are not written", func(t *testing.T) {
+		x := newStoreSimulation(t)
 		tally := ended(1, start)
 		x.writer.Merge(tally)
 		asserter.Equal(t, "receipts", len(x.write(start)), 1)
 		x.writer.Merge(tally)
 		asserter.Equal(t, "writes", len(x.writer.Due(start.Add(time.Hour), 3)), 0)
 	})
-	t.Run("a new writer keeps what the store holds", func(t *testing.T) {
-		x := newBench(t)
+	t.Run("a new writer keeps the stored tallies", func(t *testing.T) {
+		x := newStoreSimulation(t)
 		x.stored, x.revision = []descriptor.Tally{ended(7, start)}, 9
 		x.writer.Merge(ended(1, start))
 		x.write(start)
 		asserter.Equal(t, "receipts after the conflict", len(x.write(start.Add(time.Second))), 2)
 		asserter.Equal(t, "received", x.received(), uint64(2))
 	})
-	t.Run("failed writes back off up to the interval", func(t *testing.T) {
-		x := newBench(t)
+	t.Run("the backoff of failed writes is limited to the interval", func(t *testing.T) {
+		x := newStoreSimulation(t)
 		x.writer.Merge(ended(1, start))
 		now := start
 		writes := 0
@@ -99,7 +100,7 @@
 }
 
 func TestFold(t *testing.T) {
-	x := newBench(t)
+	x := newStoreSimulation(t)
 	const many = 1000
 	now := start
 	for i := range many {
@@ -109,16 +110,16 @@
 	}
 	x.writer.Merge(ended(many, now))
 	x.write(now.Add(time.Minute))
-	asserter.AtMost(t, "tallies", len(x.stored), foldFrom+61)
+	asserter.AtMost(t, "tallies", len(x.stored), minFoldTallies+61)
 	asserter.Equal(t, "received", x.received(), uint64(many+1))
-	t.Run("a late copy of a folded tally changes nothing", func(t *testing.T) {
+	t.Run("a late copy of a folded tally is dropped", func(t *testing.T) {
 		x.writer.Merge(ended(3, start.Add(3*time.Minute)))
 		x.writer.Merge(ended(many+1, now))
 		x.write(now.Add(time.Hour))
 		asserter.Equal(t, "received", x.received(), uint64(many+2))
 	})
-	t.Run("a writer that meets a folded store drops what it contains", func(t *testing.T) {
-		y := newBench(t)
+	t.Run("a writer that finds a folded tally in the store drops the tallies in it", func(t *testing.T) {
+		y := newStoreSimulation(t)
 		y.stored, y.revision = x.stored, x.revision
 		y.writer.Merge(ended(5, start.Add(5*time.Minute)))
 		y.writer.Merge(ended(many+2, now))
--- a/counter/fold.go
+++ b/counter/fold.go
@@ -7,25 +7,25 @@
 	"monsoonswitch/descriptor"
 )
 
-// Parameters of folding.
+// Parameters of folding, which bounds the number of tallies in the store.
 const (
-	// FoldedInstance is the instance of the tally that stands for incarnations
-	// long ended; no instance has such a name.
+	// FoldedInstance is the instance name of the folded tally, which sums up
+	// incarnations that ended long ago. No instance can have this name.
 	FoldedInstance = "~folded"
-	// foldFrom is the number of incarnations from which on ended ones are
-	// folded.
-	foldFrom = 128
-	// foldAge is the age of a final tally from which on nothing newer of its
+	// minFoldTallies is the number of tallies of a service from which on tallies of
+	// ended incarnations are folded.
+	minFoldTallies = 128
+	// minFoldAge is the age of a final tally above which no newer tally of its
 	// incarnation is expected.
-	foldAge = time.Hour
+	minFoldAge = time.Hour
 )
 
-// Fold returns the tallies with those of incarnations long ended added up into
-// one, which lists their owners: a late copy of a folded tally is known by that
-// and dropped. The list must be sorted by owner.
+// Fold returns the tallies with those of incarnations that ended long ago summed up
+// into one folded tally. The folded tally lists their owners, so that a late copy
+// of one of them can be recognized and dropped. The list must be sorted by owner.
 func Fold(list []descriptor.Tally, now time.Time) []descriptor.Tally {
 	list = DropFolded(list)
-	if len(list) < foldFrom {
+	if len(list) < minFoldTallies {
 		return list
 	}
 	sum := descriptor.Tally{Instance: FoldedInstance, Final: true, Latency: make([]uint64, descriptor.LatencyBuckets)}
@@ -36,7 +36,7 @@
 			sum = withTally(sum, t)
 			sum.Folded = append(sum.Folded, t.Folded...)
 			sum.Version = t.Version
-		case t.Final && t.Open == 0 && now.Sub(t.At) >= foldAge:
+		case t.Final && t.Open == 0 && now.Sub(t.At) >= minFoldAge:
 			sum = withTally(sum, t)
 			sum.Folded = append(sum.Folded, Owner(t))
 		default:
@@ -51,7 +51,7 @@
 	return append([]descriptor.Tally{sum}, kept...)
 }
 
-// DropFolded returns the tallies without those that a folded one contains.
+// DropFolded returns the tallies without those that a folded tally contains.
 func DropFolded(list []descriptor.Tally) []descriptor.Tally {
 	folded := make(map[string]bool)
 	for _, t := range list {
@@ -91,7 +91,7 @@
 	return sum
 }
 
-// addCounts returns the sums of two lists of counts.
+// addCounts returns the sum of two lists of counts.
 func addCounts(a, b []descriptor.Count) []descriptor.Count {
 	result := slices.Clone(a)
 	for _, c := range b {
--- a/counter/writer.go
+++ b/counter/writer.go
@@ -12,79 +12,87 @@
 	"monsoonswitch/descriptor"
 )
 
-// Times of writes to the store.
+// Intervals of writes to the store.
 const (
-	// writeLeast is the least time between writes of one service's tallies.
-	writeLeast = 5 * time.Second
-	// writeShare is the time between two writes of any service: it keeps the
-	// writes of the fleet at 100 a second.
-	writeShare = 10 * time.Millisecond
-	// failureFirst is the wait after a write that did not reach the store; it
-	// doubles up to the interval of writes.
-	failureFirst = 2 * time.Second
+	// minWriteInterval is the minimum time between writes of one service's tallies.
+	minWriteInterval = 5 * time.Second
+	// writeIntervalPerService is the minimum time between two writes of all
+	// services together. It limits the writes of the fleet to 100 per second.
+	writeIntervalPerService = 10 * time.Millisecond
+	// initialBackoff is the backoff after the first failed write. It doubles with
+	// each further failure, up to the interval between writes.
+	initialBackoff = 2 * time.Second
 )
 
 // WriteInterval returns the time between writes of one service's tallies in a
 // fleet with the given number of services.
 func WriteInterval(services int) time.Duration {
-	return max(writeLeast, time.Duration(services)*writeShare)
+	return max(minWriteInterval, time.Duration(services)*writeIntervalPerService)
 }
 
-// page is what a tally writer holds of one service.
-type page struct {
+// serviceTallies is the state of a tally writer for one service.
+type serviceTallies struct {
 	// tallies holds the newest tally of each incarnation by Owner.
 	tallies *container.Table[string, descriptor.Tally]
-	// stored holds the version of each incarnation in the store.
-	stored   *container.Table[string, uint64]
+	// stored holds the version of each incarnation's tally in the store.
+	stored *container.Table[string, uint64]
+	// revision is the store's revision of the service's tallies.
 	revision uint64
-	dirty    bool
-	// urgent tells that a final tally waits.
+	// dirty is set when there are tallies to write.
+	dirty bool
+	// urgent is set when a final tally is to be written, which does not wait for
+	// nextAt.
 	urgent bool
-	write  descriptor.WriteID
+	// write is the ID of the write in progress, or 0.
+	write descriptor.WriteID
+	// nextAt is the earliest time of the next write.
 	nextAt time.Time
-	// interval is the time between writes at the last one.
+	// interval is the time between writes that applied to the last write.
 	interval time.Duration
-	// failures counts the writes in a row that did not reach the store.
+	// failures counts consecutive writes that failed.
 	failures int
-	// jitter sets the services of a fleet apart; it is from 0 to 1.
+	// jitter, from 0 to 1, spreads the retries of different services.
 	jitter float64
-	// writing holds the versions of the write under way.
+	// writing holds the tallies of the last write.
 	writing []descriptor.Tally
 }
 
-// Owner names the incarnation that a tally belongs to.
+// Owner returns the identifier of the incarnation that a tally belongs to.
 func Owner(t descriptor.Tally) string {
 	return t.Instance + "/" + strconv.FormatInt(t.Incarnation, 36)
 }
 
-// Writer merges the tallies of many instances and writes them to the store.
+// Writer merges the tallies of many instances and writes them to the store. It is
+// not safe for concurrent use.
 type Writer struct {
-	self  descriptor.Member
-	next  func() descriptor.WriteID
-	pages *container.Table[string, *page]
+	self      descriptor.Member
+	next      func() descriptor.WriteID
+	byService *container.Table[string, *serviceTallies]
 }
 
 // NewWriter returns a writer without tallies.
 func NewWriter(self descriptor.Member, next func() descriptor.WriteID) *Writer {
-	return &Writer{self: self, next: next, pages: container.NewTable[string, *page]()}
+	return &Writer{self: self, next: next, byService: container.NewTable[string, *serviceTallies]()}
 }
 
-func (w *Writer) page(service string) *page {
-	p, ok := w.pages.Get(service)
+// serviceTallies returns the state of a service and creates it if needed.
+func (w *Writer) serviceTallies(service string) *serviceTallies {
+	p, ok := w.byService.Get(service)
 	if !ok {
-		p = &page{
+		p = &serviceTallies{
 			tallies: container.NewTable[string, descriptor.Tally](),
 			stored:  container.NewTable[string, uint64](),
 			jitter:  float64(xxhash.Sum64String(service)>>11) / (1 << 53),
 		}
-		w.pages.Put(service, p)
+		w.byService.Put(service, p)
 	}
 	return p
 }
 
-// Merge takes in a tally; an older version changes nothing.
+// Merge adds a tally to the next write. Versions that are not newer than the known
+// one and tallies that are already folded are ignored.
 func (w *Writer) Merge(t descriptor.Tally) {
-	p := w.page(t.Service)
+	p := w.serviceTallies(t.Service)
 	if p.isFolded(t) {
 		return
 	}
@@ -94,7 +102,8 @@
 	}
 }
 
-func (p *page) merge(t descriptor.Tally) bool {
+// merge stores a tally and reports whether it is newer than the known one.
+func (p *serviceTallies) merge(t descriptor.Tally) bool {
 	owner := Owner(t)
 	old, ok := p.tallies.Get(owner)
 	if ok && old.Version >= t.Version {
@@ -104,23 +113,24 @@
 	return true
 }
 
-// isFolded tells whether the folded tally contains t.
-func (p *page) isFolded(t descriptor.Tally) bool {
+// isFolded reports whether the folded tally contains t.
+func (p *serviceTallies) isFolded(t descriptor.Tally) bool {
 	_, found := slices.BinarySearch(p.folded(), Owner(t))
 	return found
 }
 
-// folded lists the incarnations that the folded tally contains, sorted.
-func (p *page) folded() []string {
+// folded returns the sorted owners of the tallies that the folded tally contains.
+func (p *serviceTallies) folded() []string {
 	t, _ := p.tallies.Get(Owner(descriptor.Tally{Instance: FoldedInstance}))
 	return t.Folded
 }
 
-// Due returns the writes to make now.
+// Due returns the writes to make now. services is the number of services in the
+// fleet, which determines the interval.
 func (w *Writer) Due(now time.Time, services int) []descriptor.Action {
 	every := WriteInterval(services)
 	var actions []descriptor.Action
-	for service, p := range w.pages.All {
+	for service, p := range w.byService.All {
 		if !p.dirty || p.write != 0 || now.Before(p.nextAt) && !p.urgent {
 			continue
 		}
@@ -140,7 +150,8 @@
 	return actions
 }
 
-func (p *page) list() []descriptor.Tally {
+// list returns the tallies sorted by owner.
+func (p *serviceTallies) list() []descriptor.Tally {
 	list := make([]descriptor.Tally, 0, p.tallies.Len())
 	for _, t := range p.tallies.All {
 		list = append(list, t)
@@ -149,16 +160,16 @@
 	return list
 }
 
-// Addressed is a receipt for an instance.
+// Addressed is a receipt with the instance that it is to be sent to.
 type Addressed struct {
 	Instance string
 	Receipt  descriptor.Receipt
 }
 
-// Written takes in the end of a write and returns the receipts to send and
-// whether the write was one of this writer.
+// Written handles the result of a write. It returns the receipts to send, and
+// whether the write was made by this writer.
 func (w *Writer) Written(e descriptor.Written) ([]Addressed, bool) {
-	for _, p := range w.pages.All {
+	for _, p := range w.byService.All {
 		if p.write == 0 || p.write != e.Write {
 			continue
 		}
@@ -168,12 +179,12 @@
 	return nil, false
 }
 
-func (p *page) finish(e descriptor.Written) []Addressed {
+func (p *serviceTallies) finish(e descriptor.Written) []Addressed {
 	switch e.Result {
 	case descriptor.WriteAccepted:
 		p.revision = e.Revision
 		p.failures = 0
-		p.drop()
+		p.adoptFolded()
 		return p.receipts()
 	case descriptor.WriteConflict:
 		p.revision = e.Revision
@@ -190,8 +201,9 @@
 	return nil
 }
 
-// drop replaces the tallies that the store now holds folded.
-func (p *page) drop() {
+// adoptFolded removes the tallies that the last write folded, and keeps the
+// folded tally instead.
+func (p *serviceTallies) adoptFolded() {
 	for _, t := range p.writing {
 		if t.Instance == FoldedInstance {
 			p.merge(t)
@@ -200,22 +212,22 @@
 	p.dropFolded()
 }
 
-// dropFolded removes the tallies that a folded one contains.
-func (p *page) dropFolded() {
+// dropFolded removes the tallies that the folded tally contains.
+func (p *serviceTallies) dropFolded() {
 	for _, owner := range p.folded() {
 		p.tallies.Delete(owner)
 	}
 }
 
-// backoff returns the wait after one more failure.
-func (p *page) backoff() time.Duration {
-	wait := min(p.interval, failureFirst<<min(p.failures, 8))
+// backoff counts a failed write and returns the time to wait before the next one.
+func (p *serviceTallies) backoff() time.Duration {
+	wait := min(p.interval, initialBackoff<<min(p.failures, 8))
 	p.failures++
 	return wait/2 + time.Duration(p.jitter*float64(wait))
 }
 
-// receipts returns the confirmations of the tallies just written.
-func (p *page) receipts() []Addressed {
+// receipts returns the receipts for the tallies that were just written.
+func (p *serviceTallies) receipts() []Addressed {
 	var result []Addressed
 	for _, t := range p.writing {
 		owner := Owner(t)
@@ -229,10 +241,10 @@
 	return result
 }
 
-// Unwritten returns the number of services with tallies not yet in the store.
+// Unwritten returns the number of services with tallies that are not in the store.
 func (w *Writer) Unwritten() int {
 	n := 0
-	for _, p := range w.pages.All {
+	for _, p := range w.byService.All {
 		if p.dirty || p.write != 0 {
 			n++
 		}
