--- a/controller/controller.go
+++ b/controller/controller.go
@@ -1,5 +1,6 @@
-// Package controller runs the decisions of an instance on one goroutine. Traffic
-// goroutines post events and wait on channels for what to do.
+// Package controller runs the decision state machine of an instance on one
+// goroutine, the control goroutine. Traffic goroutines post events and receive
+// actions on channels.
 package controller
 
 import (
@@ -10,42 +11,45 @@
 
 // Parameters of the control goroutine.
 const (
-	// queueLength is the number of events that may wait.
+	// queueLength is the capacity of the event queue.
 	queueLength = 4096
-	// answerLength is the number of actions that may wait for one request; it
-	// is more than a request can get.
-	answerLength = 32
-	// busyTick and idleTick are the times between ticks with and without
-	// requests in flight.
+	// actionQueueLength is the capacity of the action channel of one request. It
+	// exceeds the number of actions that a request can get, so that delivery never
+	// blocks.
+	actionQueueLength = 32
+	// busyTick and idleTick are the intervals between timer events with and
+	// without open requests.
 	busyTick = 10 * time.Millisecond
 	idleTick = 100 * time.Millisecond
 )
 
-// Machine is the state machine that decides.
+// Machine is the decision state machine of an instance.
 type Machine interface {
-	// Step takes one event in and returns the actions that follow, valid until
-	// the next call.
+	// Step handles one event and returns the resulting actions. The slice is
+	// valid until the next call.
 	Step(descriptor.Event) []descriptor.Action
-	// Busy tells whether there are requests that have not ended.
+	// Busy reports whether there are open requests.
 	Busy() bool
 	// Dump returns the state at the given time.
 	Dump(time.Time) descriptor.Dump
 }
 
-// Effects carries out the actions that belong to no request. It must not block.
+// Effects carries out the actions that do not belong to a request.
 type Effects interface {
-	// Do carries out one action.
+	// Do carries out one action. It runs on the control goroutine and must not
+	// block.
 	Do(descriptor.Action)
 }
 
-// input is one event with what else the control goroutine needs for it.
+// input is one entry of the queue of the control goroutine: an event, the
+// release of a request, or a call of Dump.
 type input struct {
 	event descriptor.Event
-	// answers receives the actions of the request that arrives.
-	answers chan descriptor.RequestAction
-	// closed is the request whose goroutine ended, or 0.
-	closed descriptor.RequestID
-	// dump receives the state.
+	// actions receives the actions of a new request, or is nil.
+	actions chan descriptor.RequestAction
+	// released is the request that needs no more actions, or 0.
+	released descriptor.RequestID
+	// dump receives the state for a call of Dump, or is nil.
 	dump chan descriptor.Dump
 }
 
@@ -71,11 +75,12 @@
 	return c
 }
 
-// Post passes an event on. It blocks while the queue is full, and drops the
-// event once the controller was closed.
-func (c *Controller) Post(e descriptor.Event) { c.put(input{event: e}) }
+// Post queues an event. It blocks while the queue is full, and drops the event
+// after Close.
+func (c *Controller) Post(e descriptor.Event) { c.enqueue(input{event: e}) }
 
-func (c *Controller) put(in input) bool {
+// enqueue adds to the queue and reports whether the controller is still open.
+func (c *Controller) enqueue(in input) bool {
 	select {
 	case c.inputs <- in:
 		return true
@@ -84,20 +89,22 @@
 	}
 }
 
-// Open passes a request on and returns the channel of its actions.
+// Open queues a new request and returns the channel that receives its actions. The
+// caller must call Release when it needs no more actions.
 func (c *Controller) Open(e descriptor.Arrived) <-chan descriptor.RequestAction {
-	answers := make(chan descriptor.RequestAction, answerLength)
-	c.put(input{event: e, answers: answers})
-	return answers
+	actions := make(chan descriptor.RequestAction, actionQueueLength)
+	c.enqueue(input{event: e, actions: actions})
+	return actions
 }
 
-// Release ends the delivery of actions for a request.
-func (c *Controller) Release(id descriptor.RequestID) { c.put(input{closed: id}) }
+// Release stops the delivery of actions for a request.
+func (c *Controller) Release(id descriptor.RequestID) { c.enqueue(input{released: id}) }
 
-// Dump returns the state of the instance at one instant.
+// Dump returns the state of the instance at one instant, or false if the controller
+// is closed.
 func (c *Controller) Dump() (descriptor.Dump, bool) {
 	result := make(chan descriptor.Dump, 1)
-	if !c.put(input{dump: result}) {
+	if !c.enqueue(input{dump: result}) {
 		return descriptor.Dump{}, false
 	}
 	select {
@@ -108,13 +115,14 @@
 	}
 }
 
-// Close ends the control goroutine.
+// Close stops the control goroutine and waits for its end. It must be called once.
 func (c *Controller) Close() {
 	close(c.stop)
 	<-c.done
 }
 
-// loop is the state of the control goroutine.
+// loop is the state of the control goroutine. requests holds the action channel of
+// each open request.
 type loop struct {
 	machine  Machine
 	effects  Effects
@@ -127,32 +135,33 @@
 	for {
 		select {
 		case in := <-c.inputs:
-			l.take(in)
+			l.handle(in)
 		case now := <-timer.C:
 			l.step(descriptor.Ticked{At: now})
-			timer.Reset(l.wait())
+			timer.Reset(l.tickInterval())
 		case <-c.stop:
 			return
 		}
 	}
 }
 
-func (l *loop) wait() time.Duration {
+// tickInterval returns the time until the next timer event.
+func (l *loop) tickInterval() time.Duration {
 	if l.machine.Busy() {
 		return busyTick
 	}
 	return idleTick
 }
 
-func (l *loop) take(in input) {
+func (l *loop) handle(in input) {
 	switch {
 	case in.dump != nil:
 		in.dump <- l.machine.Dump(time.Now())
-	case in.closed != 0:
-		delete(l.requests, in.closed)
+	case in.released != 0:
+		delete(l.requests, in.released)
 	default:
-		if e, ok := in.event.(descriptor.Arrived); ok && in.answers != nil {
-			l.requests[e.Request] = in.answers
+		if e, ok := in.event.(descriptor.Arrived); ok && in.actions != nil {
+			l.requests[e.Request] = in.actions
 		}
 		l.step(in.event)
 	}
@@ -164,20 +173,21 @@
 	}
 }
 
-// deliver passes an action to its request or to the effects. The channel of a
-// request has room for all actions that a request can get.
+// deliver sends an action to its request or to the effects. Actions for released
+// requests are dropped. It never blocks: the channel of a request has room for all
+// actions that a request can get.
 func (l *loop) deliver(a descriptor.Action) {
 	r, ok := a.(descriptor.RequestAction)
 	if !ok {
 		l.effects.Do(a)
 		return
 	}
-	answers, ok := l.requests[r.For()]
+	actions, ok := l.requests[r.For()]
 	if !ok {
 		return
 	}
 	select {
-	case answers <- r:
+	case actions <- r:
 	default:
 	}
 }
