--- a/declarer/check.go
+++ b/declarer/check.go
@@ -5,20 +5,21 @@
 	"strings"
 )
 
-// Check reports the first rule that s breaks; file names its source.
+// Check returns an ErrInvalid error for the first rule that s violates. The error
+// names file as the source.
 func (s Service) Check(file string) error {
-	p := problem{file, "service", "name"}
+	p := location{file, "service", "name"}
 	if !namePattern.MatchString(s.Name) {
 		return p.errorf("%q is no name of lower-case letters, digits and dashes", s.Name)
 	}
 	if len(s.Classes) == 0 || len(s.Classes) > MaxClasses {
-		return problem{file, "class", "-"}.errorf("a service has 1 to %d classes, not %d", MaxClasses, len(s.Classes))
+		return location{file, "class", "-"}.errorf("a service has 1 to %d classes, not %d", MaxClasses, len(s.Classes))
 	}
 	if len(s.Routes) > MaxRoutes {
-		return problem{file, "route", "-"}.errorf("a service has at most %d routes, not %d", MaxRoutes, len(s.Routes))
+		return location{file, "route", "-"}.errorf("a service has at most %d routes, not %d", MaxRoutes, len(s.Routes))
 	}
 	if len(s.Routes) == 0 && s.State == Open {
-		return problem{file, "route", "-"}.errorf("an open service has a route")
+		return location{file, "route", "-"}.errorf("an open service has a route")
 	}
 	if err := s.checkClasses(file); err != nil {
 		return err
@@ -31,14 +32,14 @@
 	for _, c := range s.Classes {
 		section := "class " + c.Name
 		if !namePattern.MatchString(c.Name) || seen[c.Name] {
-			return problem{file, section, "-"}.errorf("%q is no name or stands twice", c.Name)
+			return location{file, section, "-"}.errorf("%q is no name or stands twice", c.Name)
 		}
 		seen[c.Name] = true
 		if c.Target <= 0 || c.Target > MaxTarget {
-			return problem{file, section, "target"}.errorf("%v is not in (0, %v]", c.Target, MaxTarget)
+			return location{file, section, "target"}.errorf("%v is not in (0, %v]", c.Target, MaxTarget)
 		}
 		if c.Idempotent && c.Keyless {
-			return problem{file, section, "keyless"}.errorf("only non-idempotent work has keys")
+			return location{file, section, "keyless"}.errorf("only non-idempotent work has keys")
 		}
 	}
 	return nil
@@ -49,18 +50,18 @@
 	for _, r := range s.Routes {
 		section := "route " + r.Name
 		if r.Name == "" || seen[r.Name] {
-			return problem{file, section, "-"}.errorf("%q is empty or stands twice", r.Name)
+			return location{file, section, "-"}.errorf("%q is empty or stands twice", r.Name)
 		}
 		seen[r.Name] = true
 		if !strings.HasPrefix(r.Path, "/") {
-			return problem{file, section, "path"}.errorf("%q does not begin with a slash", r.Path)
+			return location{file, section, "path"}.errorf("%q does not begin with a slash", r.Path)
 		}
 		if strings.HasPrefix(r.Path, "/-/") {
-			return problem{file, section, "path"}.errorf("/-/ belongs to the instances")
+			return location{file, section, "path"}.errorf("/-/ belongs to the instances")
 		}
 		c, ok := s.Class(r.Class)
 		if !ok {
-			return problem{file, section, "class"}.errorf("there is no class %q", r.Class)
+			return location{file, section, "class"}.errorf("there is no class %q", r.Class)
 		}
 		if err := r.checkMethods(file, section, c); err != nil {
 			return err
@@ -69,10 +70,11 @@
 	return nil
 }
 
-// checkMethods refuses safe methods on non-idempotent work: HTTP libraries
-// between the caller and the backend server may send those again by themselves.
+// checkMethods rejects safe methods for non-idempotent work, because HTTP libraries
+// between the caller and the backend server may retry requests with these methods
+// on their own.
 func (r Route) checkMethods(file, section string, c Class) error {
-	p := problem{file, section, "method"}
+	p := location{file, section, "method"}
 	if c.Idempotent {
 		return nil
 	}
--- a/declarer/declarer_test.go
+++ b/declarer/declarer_test.go
@@ -8,7 +8,7 @@
 	"monsoonswitch/asserter"
 )
 
-const sound = `
+const validDeclaration = `
 [service]
 name = ledger
 floor = 60%
@@ -31,14 +31,14 @@
 `
 
 func TestParse(t *testing.T) {
-	s, err := Parse("ledger.ini", []byte(sound))
+	s, err := Parse("ledger.ini", []byte(validDeclaration))
 	asserter.NoError(t, "parse", err)
 	asserter.Equal(t, "name", s.Name, "ledger")
 	asserter.Equal(t, "target", s.Classes[0].Target, 300*time.Millisecond)
 	asserter.Equal(t, "methods", s.Routes[0].Methods, []string{"GET", "HEAD"})
 	t.Run("floor", func(t *testing.T) {
 		for n, want := range map[int]int{0: 0, 1: 1, 5: 3, 11: 7, 21: 13} {
-			asserter.Equal(t, "kept", s.Keep(n), want)
+			asserter.Equal(t, "backend servers to leave", s.Keep(n), want)
 		}
 	})
 	t.Run("match", func(t *testing.T) {
@@ -65,10 +65,10 @@
 		{"key twice", "target = 300ms", "target = 300ms\ntarget = 1s", "[class lookup] target"},
 		{"unknown section", "[class note]", "[server x]", "[server x]"},
 		{"bad target", "target = 300ms", "target = soon", "[class lookup] target"},
-		{"no target", "target = 300ms", "", "[class lookup] target"},
+		{"missing target", "target = 300ms", "", "[class lookup] target"},
 		{"negative target", "target = 300ms", "target = -1s", "[class lookup] target"},
 		{"bad flag", "idempotent = true", "idempotent = perhaps", "[class lookup] idempotent"},
-		{"no floor", "floor = 60%", "", "[service] floor"},
+		{"missing floor", "floor = 60%", "", "[service] floor"},
 		{"floor too large", "floor = 60%", "floor = 160%", "[service] floor"},
 		{"bad name", "name = ledger", "name = Ledger One", "[service] name"},
 		{"unknown class", "class = note", "class = other", "[route notes] class"},
@@ -80,7 +80,7 @@
 		{"second service", "[class note]", "[service]\nname = b\nfloor = 1\n[class note]", "[service]"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			_, err := Parse("ledger.ini", []byte(strings.Replace(sound, c.from, c.to, 1)))
+			_, err := Parse("ledger.ini", []byte(strings.Replace(validDeclaration, c.from, c.to, 1)))
 			asserter.ErrorIs(t, "parse", err, ErrInvalid)
 			asserter.True(t, "names file and key: "+err.Error(), strings.Contains(err.Error(), "ledger.ini: "+c.mentions))
 		})
@@ -88,7 +88,7 @@
 }
 
 func FuzzParse(f *testing.F) {
-	f.Add([]byte(sound))
+	f.Add([]byte(validDeclaration))
 	f.Add([]byte("[service]\nname=a\nfloor=nan%"))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		s, err := Parse("f", data)
@@ -96,6 +96,6 @@
 			return
 		}
 		asserter.NoError(t, "check again", s.Check("f"))
-		asserter.AtLeast(t, "kept of ten", s.Keep(10), 1)
+		asserter.AtLeast(t, "backend servers to leave of ten", s.Keep(10), 1)
 	})
 }
--- a/declarer/parse.go
+++ b/declarer/parse.go
@@ -15,33 +15,33 @@
 	"monsoonswitch/parser"
 )
 
-// ErrInvalid reports a declaration that can't be accepted.
+// ErrInvalid is the error for an invalid declaration.
 var ErrInvalid = eris.New("invalid declaration")
 
 // Limits of one declaration.
 const (
-	// MaxBytes bounds the length of a declaration file in bytes.
+	// MaxBytes is the maximum length of a declaration file in bytes.
 	MaxBytes = 256 << 10
-	// MaxClasses bounds the classes of a service.
+	// MaxClasses is the maximum number of classes of a service.
 	MaxClasses = 16
-	// MaxRoutes bounds the routes of a service.
+	// MaxRoutes is the maximum number of routes of a service.
 	MaxRoutes = 1000
-	// MaxTarget bounds the target of a class.
+	// MaxTarget is the maximum target latency of a class.
 	MaxTarget = 24 * time.Hour
 )
 
 var namePattern = regexp.MustCompile(`^[a-z][a-z0-9-]{0,62}$`)
 
-// problem names the file, section and key of an error.
-type problem struct {
+// location is the file, section and key that an error refers to.
+type location struct {
 	file, section, key string
 }
 
-func (p problem) errorf(format string, args ...any) error {
+func (p location) errorf(format string, args ...any) error {
 	return parser.Errorf(ErrInvalid, p.file, p.section, p.key, format, args...)
 }
 
-// Load reads the declaration file at path.
+// Load reads and checks the declaration file at path.
 func Load(path string) (Service, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -50,7 +50,8 @@
 	return Parse(path, data)
 }
 
-// LoadAll reads a file, or each .ini file of a directory in name order.
+// LoadAll reads and checks a declaration file, or all .ini files of a directory in
+// name order. It returns an error if two files declare the same service.
 func LoadAll(path string) ([]Service, error) {
 	files, err := listFiles(path)
 	if err != nil {
@@ -64,7 +65,7 @@
 			return nil, err
 		}
 		if other, ok := seen[s.Name]; ok {
-			return nil, problem{f, "service", "name"}.errorf("%q is also declared in %s", s.Name, other)
+			return nil, location{f, "service", "name"}.errorf("%q is also declared in %s", s.Name, other)
 		}
 		seen[s.Name] = f
 		services = append(services, s)
@@ -72,6 +73,7 @@
 	return services, nil
 }
 
+// listFiles returns path, or the .ini files in it if it is a directory.
 func listFiles(path string) ([]string, error) {
 	info, err := os.Stat(path)
 	if err != nil {
@@ -91,7 +93,7 @@
 	return files, nil
 }
 
-// Parse reads a declaration; file names the source in errors.
+// Parse parses and checks a declaration. Errors name file as the source.
 func Parse(file string, data []byte) (Service, error) {
 	if len(data) > MaxBytes {
 		return Service{}, eris.Wrapf(ErrInvalid, "%s: longer than %d bytes", file, MaxBytes)
@@ -108,7 +110,7 @@
 			continue
 		}
 		if kind == "service" && found {
-			return Service{}, problem{file, "service", "name"}.errorf("a file declares one service")
+			return Service{}, location{file, "service", "name"}.errorf("a file declares one service")
 		}
 		found = found || kind == "service"
 		if err := s.addSection(file, kind, name, sec); err != nil {
@@ -118,6 +120,7 @@
 	return s, s.Check(file)
 }
 
+// addSection adds the settings of one section to s.
 func (s *Service) addSection(file, kind, name string, sec *ini.Section) error {
 	r := parser.NewSection(file, sec, ErrInvalid)
 	switch kind {
@@ -141,12 +144,12 @@
 			Class:   r.Text("class", ""),
 		})
 	default:
-		return problem{file, sec.Name(), "-"}.errorf("unknown section")
+		return location{file, sec.Name(), "-"}.errorf("unknown section")
 	}
 	return r.Finish()
 }
 
-// stateOf reads the state of a service.
+// stateOf parses the state of a service; the default is Open.
 func stateOf(r *parser.Section, key string) State {
 	text := r.Text(key, "open")
 	for st := Open; st <= Closed; st++ {
@@ -158,7 +161,8 @@
 	return Open
 }
 
-// floorOf reads a floor: a number of backend servers, or a percentage.
+// floorOf parses a floor, which is a number of backend servers or a percentage. It
+// returns Floor and Share of a service.
 func floorOf(r *parser.Section, key string) (int, float64) {
 	text := r.Text(key, "")
 	if percent, ok := strings.CutSuffix(text, "%"); ok {
@@ -175,7 +179,7 @@
 	return v, 0
 }
 
-// methods reads HTTP methods.
+// methods parses a list of HTTP methods.
 func methods(r *parser.Section, key string) []string {
 	var result []string
 	for _, w := range r.Words(key) {
--- a/declarer/routing.go
+++ b/declarer/routing.go
@@ -5,65 +5,68 @@
 	"time"
 )
 
-// Part is a service that gets some of the requests of a host route.
+// Part is a service that gets a share of the requests of a host route.
 type Part struct {
 	// Service is the name of the service.
 	Service string
-	// Weight is the part's share among all weights of the route; it is positive.
+	// Weight is the part's weight relative to the sum of all weights of the
+	// route; it is positive.
 	Weight int
 }
 
-// HostRoute assigns the requests for a host below a path to services. Its name
-// is that of a class of each of these services.
+// HostRoute assigns the requests for a host and a path prefix to services. Each of
+// these services has a class with the name of the route.
 type HostRoute struct {
 	// Host is in lower case and has no port.
 	Host string
 	// Path is a prefix that begins and ends with a slash.
 	Path string
-	// Class has the name of the route, which is unique within a routing.
+	// Class is the class of the requests. Its name is the name of the route and
+	// is unique within a routing.
 	Class Class
 	// Parts is not empty.
 	Parts []Part
 }
 
-// Intake bounds what callers may send.
+// Intake holds the limits on requests of callers.
 type Intake struct {
-	// HeadBytes and BodyBytes bound the head and the body of a request; 0 means
-	// the limits of the settings.
+	// HeadBytes and BodyBytes are the maximum lengths of the header and the body
+	// of a request in bytes; 0 means the limits of the settings.
 	HeadBytes, BodyBytes int64
-	// HeadTimeout bounds the time for the head of a request and IdleTimeout that
-	// between requests of a connection; 0 means the limits of the settings.
+	// HeadTimeout is the maximum time to receive the header of a request, and
+	// IdleTimeout that between two requests of a connection; 0 means the limits
+	// of the settings.
 	HeadTimeout, IdleTimeout time.Duration
 }
 
-// Upstream is what a routing says of a service.
+// Upstream holds the settings of a service in a routing.
 type Upstream struct {
 	// Name is unique within the routing.
 	Name string
-	// HealthPath is where its backend servers answer health checks.
+	// HealthPath is the URL path of the health check of its backend servers.
 	HealthPath string
-	// Connections is how many connections a backend server accepts from all
-	// instances together; 0 means that it is not known.
+	// Connections is the maximum number of connections that a backend server
+	// accepts from all instances together; 0 means that it is unknown.
 	Connections int
 }
 
-// Routing is a configuration that declares all services, routes and limits at
-// once, under one version.
+// Routing is a configuration that declares all services, routes and limits together
+// under one version.
 type Routing struct {
-	// Version orders configurations; the largest one is in force.
+	// Version grows with each configuration; the largest one is in force.
 	Version  uint64
 	Routes   []HostRoute
 	Services []Upstream
 	Limits   Intake
 }
 
-// Derive returns the declarations of the services. A routing has no floors of
-// its own: ejection leaves every backend server of a service, and how work
-// avoids gray ones is up to the placement of each request.
+// Derive returns the declarations of the services. A routing declares no floors, so
+// Share is 1: ejection never removes a backend server of these services, and gray
+// ones are avoided by the placement of each request instead.
 func (r Routing) Derive() []Service {
 	index := make(map[string]int)
 	var result []Service
-	at := func(name string) int {
+	indexOf := func(name string) int {
 		if i, ok := index[name]; ok {
 			return i
 		}
@@ -72,26 +75,26 @@
 		return len(result) - 1
 	}
 	for _, s := range r.Services {
-		result[at(s.Name)].Connections = s.Connections
+		result[indexOf(s.Name)].Connections = s.Connections
 	}
 	for _, route := range r.Routes {
 		for _, p := range route.Parts {
-			i := at(p.Service)
+			i := indexOf(p.Service)
 			result[i].Classes = append(result[i].Classes, route.Class)
 		}
 	}
 	return result
 }
 
-// Map finds the route of a request. It is immutable.
+// Map is an immutable index of the routes of a routing by host and path.
 type Map struct {
 	routing Routing
-	// hosts holds the routes of each host by path.
+	// hosts holds, for each host, the positions of its routes by path.
 	hosts map[string]map[string]int
 }
 
-// NewMap returns the index of a routing. Of two routes with one host and path
-// the first counts.
+// NewMap returns the index of a routing. Of several routes with the same host and
+// path the first one is used.
 func NewMap(r Routing) *Map {
 	m := &Map{routing: r, hosts: make(map[string]map[string]int)}
 	for i, route := range r.Routes {
@@ -107,11 +110,11 @@
 	return m
 }
 
-// Routing returns what the map was made from.
+// Routing returns the indexed routing.
 func (m *Map) Routing() Routing { return m.routing }
 
-// Match returns the route with the longest path that begins the path of a
-// request. A port in host is passed over.
+// Match returns the route of the host whose path is the longest prefix of the path
+// of a request. A port in host is ignored.
 func (m *Map) Match(host, path string) (HostRoute, bool) {
 	name, _, _ := strings.Cut(host, ":")
 	paths, ok := m.hosts[strings.ToLower(name)]
@@ -126,8 +129,8 @@
 	return HostRoute{}, false
 }
 
-// Choose returns the part of a route that gets its n-th request, so that the
-// parts get their shares within a few requests.
+// Choose returns the name of the service that gets the n-th request of the route.
+// The services reach their shares within a few requests.
 func (r HostRoute) Choose(n uint64) string {
 	if len(r.Parts) == 1 {
 		return r.Parts[0].Service
@@ -136,7 +139,7 @@
 	for _, p := range r.Parts {
 		total += p.Weight
 	}
-	// Multiples of the golden ratio, modulo one, spread evenly.
+	// The multiples of the golden ratio, modulo one, are evenly distributed.
 	point := float64(n*goldenStep>>11) / (1 << 53) * float64(total)
 	for _, p := range r.Parts {
 		point -= float64(p.Weight)
@@ -147,5 +150,5 @@
 	return r.Parts[len(r.Parts)-1].Service
 }
 
-// goldenStep is 2^64 divided by the golden ratio, made odd.
+// goldenStep is 2^64 divided by the golden ratio, rounded to an odd number.
 const goldenStep = 0x9e3779b97f4a7c15
--- a/declarer/routing_test.go
+++ b/declarer/routing_test.go
@@ -23,14 +23,14 @@
 func TestMatch(t *testing.T) {
 	m := NewMap(sampleRouting())
 	cases := map[string]struct{ host, path, want string }{
-		"prefix":               {"a.example", "/x/1", "short"},
-		"longest prefix":       {"a.example", "/x/y/1", "long"},
-		"the prefix itself":    {"a.example", "/x/y/", "long"},
-		"no slash at its end":  {"a.example", "/x", ""},
-		"port and large print": {"A.Example:8080", "/x/1", "short"},
-		"another host":         {"c.example", "/x/1", ""},
-		"root":                 {"b.example", "/deep/down", "split"},
-		"empty path":           {"b.example", "", ""},
+		"prefix":              {"a.example", "/x/1", "short"},
+		"longest prefix":      {"a.example", "/x/y/1", "long"},
+		"the prefix itself":   {"a.example", "/x/y/", "long"},
+		"no trailing slash":   {"a.example", "/x", ""},
+		"port and upper case": {"A.Example:8080", "/x/1", "short"},
+		"another host":        {"c.example", "/x/1", ""},
+		"root":                {"b.example", "/deep/down", "split"},
+		"empty path":          {"b.example", "", ""},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -44,14 +44,14 @@
 func TestChoose(t *testing.T) {
 	route := sampleRouting().Routes[2]
 	const requests = 300
-	small := 0
+	smaller := 0
 	for n := range uint64(requests) {
 		if route.Choose(n) == "billing" {
-			small++
+			smaller++
 		}
 	}
-	asserter.AtLeast(t, "requests of the small part", small, requests/10-2)
-	asserter.AtMost(t, "requests of the small part", small, requests/10+2)
+	asserter.AtLeast(t, "requests of the smaller part", smaller, requests/10-2)
+	asserter.AtMost(t, "requests of the smaller part", smaller, requests/10+2)
 }
 
 func TestDerive(t *testing.T) {
@@ -63,5 +63,5 @@
 	asserter.Equal(t, "classes of ledger", len(services["ledger"].Classes), 2)
 	asserter.Equal(t, "classes of idle", len(services["idle"].Classes), 0)
 	asserter.Equal(t, "connections", services["ledger"].Connections, 390)
-	asserter.Equal(t, "ejection leaves all", services["billing"].Keep(7), 7)
+	asserter.Equal(t, "backend servers that ejection must leave", services["billing"].Keep(7), 7)
 }
--- a/declarer/service.go
+++ b/declarer/service.go
@@ -1,5 +1,5 @@
-// Package declarer defines what operators declare: services, their classes of
-// work with targets, their routes and floors. It reads and checks declarations.
+// Package declarer defines the declarations of operators: services with their
+// classes of work, target latencies, routes and floors. It parses and checks them.
 package declarer
 
 import (
@@ -33,26 +33,27 @@
 type Class struct {
 	// Name is unique within the service.
 	Name string
-	// Target is the time in which work of the class should be answered; it is
-	// positive.
+	// Target is the target latency of the class; it is positive.
 	Target time.Duration
-	// Idempotent work may run more than once.
+	// Idempotent reports whether work of the class may run more than once.
 	Idempotent bool
-	// Long work has a limited share of slots and is never cut once started.
+	// Long is set for work that takes long. It gets a limited share of the slots
+	// and is not aborted once it has started.
 	Long bool
-	// Keyless admits non-idempotent work without an idempotency key.
+	// Keyless reports whether non-idempotent work is admitted without an
+	// idempotency key.
 	Keyless bool
-	// Timeout is the longest time that a caller is kept waiting; 0 means that
-	// only the caller's deadline counts.
+	// Timeout is the maximum time that a caller waits for a response; 0 means
+	// that only the caller's deadline applies.
 	Timeout time.Duration `json:",omitempty" cbor:",omitempty"`
 	// Rank orders classes by urgency; 0 is the most urgent.
 	Rank int `json:",omitempty" cbor:",omitempty"`
-	// Attempts bounds the backend servers that one request is sent to; 0 means
-	// the general bound.
+	// Attempts is the maximum number of backend servers that one request is sent
+	// to; 0 means the general limit.
 	Attempts int `json:",omitempty" cbor:",omitempty"`
 }
 
-// Route assigns requests to a class.
+// Route assigns requests to a class by method and path prefix.
 type Route struct {
 	// Name is unique within the service.
 	Name string
@@ -60,7 +61,7 @@
 	Methods []string
 	// Path is a prefix that begins with a slash.
 	Path string
-	// Class names a class of the same service.
+	// Class is the name of a class of the same service.
 	Class string
 }
 
@@ -68,12 +69,12 @@
 type Service struct {
 	// Name is unique within the fleet.
 	Name string
-	// State tells whether the service takes new work.
+	// State determines whether the service accepts new work.
 	State State
-	// Floor is the number of backend servers that ejection must leave.
+	// Floor is the minimum number of backend servers that ejection must leave.
 	Floor int
-	// Share is the fraction of backend servers that ejection must leave, from
-	// 0 to 1. The larger of Floor and Share binds.
+	// Share is the minimum fraction of backend servers that ejection must leave,
+	// from 0 to 1. The larger of Floor and Share applies.
 	Share float64
 	// Classes is not empty.
 	Classes []Class
@@ -81,8 +82,8 @@
 	Routes []Route
 	// Change identifies the write that stored this declaration.
 	Change string
-	// Connections is how many connections a backend server accepts from all
-	// instances together; 0 means that it is not known.
+	// Connections is the maximum number of connections that a backend server
+	// accepts from all instances together; 0 means that it is unknown.
 	Connections int `json:",omitempty" cbor:",omitempty"`
 }
 
@@ -92,7 +93,7 @@
 	return s
 }
 
-// WithChange returns s marked with the identifier of a write.
+// WithChange returns s with the identifier of a write.
 func (s Service) WithChange(id string) Service {
 	s.Change = id
 	return s
@@ -100,6 +101,7 @@
 
 // Keep returns how many of n live backend servers ejection must leave.
 func (s Service) Keep(n int) int {
+	// The small subtrahend absorbs rounding errors of the product.
 	share := int(math.Ceil(s.Share*float64(n) - 1e-9))
 	return min(n, max(s.Floor, share))
 }
@@ -114,7 +116,8 @@
 	return Class{}, false
 }
 
-// Match returns the class of a request by its method and longest path prefix.
+// Match returns the class of the route that accepts the method and whose path
+// is the longest prefix of the path of a request.
 func (s Service) Match(method, path string) (Class, bool) {
 	best := -1
 	name := ""
@@ -130,6 +133,7 @@
 	return s.Class(name)
 }
 
+// matches reports whether the route accepts a method and path.
 func (r Route) matches(method, path string) bool {
 	if !strings.HasPrefix(path, r.Path) {
 		return false
