--- a/container/container_test.go
+++ b/container/container_test.go
@@ -30,7 +30,7 @@
 		v, _ := f.Pop(newest)
 		return v
 	}
-	t.Run("owners take turns", func(t *testing.T) {
+	t.Run("owners are served round-robin", func(t *testing.T) {
 		f := NewFair[string, int]()
 		for i := range 3 {
 			f.Push("a", i)
@@ -45,7 +45,7 @@
 		f.Push("a", 2)
 		asserter.Equal(t, "newest", pop(f, true), 2)
 	})
-	t.Run("a returned entry is next again", func(t *testing.T) {
+	t.Run("a returned entry is popped next again", func(t *testing.T) {
 		f := NewFair[string, int]()
 		f.Push("a", 1)
 		f.Push("b", 2)
@@ -91,7 +91,7 @@
 	b = b.Without(7<<57, 7).With(7<<57, 8)
 	asserter.Equal(t, "buckets that differ", BucketCount(a.Differ(b)), 1)
 	asserter.Equal(t, "far", a.Far(b), false)
-	asserter.Equal(t, "far from nothing", a.Far(Sums{}), true)
+	asserter.Equal(t, "far from the empty set", a.Far(Sums{}), true)
 }
 
 func TestRingAndHeap(t *testing.T) {
--- a/container/fair.go
+++ b/container/fair.go
@@ -1,11 +1,11 @@
 package container
 
-// Fair is a queue that takes owners in turn, so that an owner with many
-// entries delays other owners by at most one entry a round.
+// Fair is a fair queue. It serves the owners of entries round-robin, so an owner
+// with many entries delays the others by at most one entry per round.
 type Fair[K comparable, V any] struct {
-	// queues holds one non-empty queue for each owner in order.
+	// queues holds a non-empty queue for each owner in order.
 	queues map[K][]V
-	// order lists the owners with entries; order[0] is served next.
+	// order lists the owners that have entries; order[0] is served next.
 	order []K
 	// size is the number of entries in all queues.
 	size int
@@ -19,7 +19,7 @@
 // Len returns the number of entries.
 func (f *Fair[K, V]) Len() int { return f.size }
 
-// Push adds v behind the entries of its owner.
+// Push appends v to the entries of its owner.
 func (f *Fair[K, V]) Push(owner K, v V) {
 	q, ok := f.queues[owner]
 	if !ok {
@@ -29,8 +29,8 @@
 	f.size++
 }
 
-// Pop removes the next entry: the newest of the owner whose turn it is if
-// newest is set, otherwise its oldest.
+// Pop removes and returns the next entry: the newest of the next owner if newest is
+// set, otherwise its oldest. It returns false if the queue is empty.
 func (f *Fair[K, V]) Pop(newest bool) (V, bool) {
 	if f.size == 0 {
 		var zero V
@@ -55,7 +55,8 @@
 	return v, true
 }
 
-// Front returns the oldest entry of the owner whose turn it is.
+// Front returns the oldest entry of the next owner without removing it. It returns
+// false if the queue is empty.
 func (f *Fair[K, V]) Front() (V, bool) {
 	if f.size == 0 {
 		var zero V
@@ -64,8 +65,8 @@
 	return f.queues[f.order[0]][0], true
 }
 
-// Return puts back an entry that was just popped, with the same order, and
-// makes it the turn of its owner again.
+// Return undoes a Pop: it puts the entry back at the same end of its owner's queue
+// and makes that owner the next one. newest must be the argument of the Pop.
 func (f *Fair[K, V]) Return(owner K, v V, newest bool) {
 	q, ok := f.queues[owner]
 	if ok {
@@ -81,6 +82,7 @@
 	f.size++
 }
 
+// without returns a copy of list without k.
 func without[K comparable](list []K, k K) []K {
 	result := make([]K, 0, len(list))
 	for _, v := range list {
--- a/container/generation.go
+++ b/container/generation.go
@@ -5,13 +5,13 @@
 	"slices"
 )
 
-// Generations is a bounded map that forgets whole generations of keys: when
-// the newest generation is full, the oldest one is dropped.
+// Generations is a bounded map that evicts keys by whole generations. When the
+// current generation is full, the previous one is dropped and a new one begins.
 type Generations[K cmp.Ordered, V any] struct {
-	// current and previous never hold the same key.
+	// current and previous have no key in common.
 	current  map[K]V
 	previous map[K]V
-	// limit is the number of keys of one generation.
+	// limit is the maximum number of keys in one generation.
 	limit int
 }
 
@@ -20,7 +20,7 @@
 	return &Generations[K, V]{current: make(map[K]V), previous: make(map[K]V), limit: limit}
 }
 
-// Get returns the value of k and whether it is held.
+// Get returns the value of k and whether there is one.
 func (g *Generations[K, V]) Get(k K) (V, bool) {
 	if v, ok := g.current[k]; ok {
 		return v, true
--- a/container/heap.go
+++ b/container/heap.go
@@ -1,6 +1,6 @@
 package container
 
-// Heap is a priority queue whose first entry is the least one.
+// Heap is a priority queue that returns the least entry first.
 type Heap[V any] struct {
 	// entries is a binary heap ordered by less.
 	entries []V
@@ -27,7 +27,7 @@
 	}
 }
 
-// Pop removes the least entry.
+// Pop removes and returns the least entry. It returns false if the heap is empty.
 func (h *Heap[V]) Pop() (V, bool) {
 	var zero V
 	if len(h.entries) == 0 {
@@ -42,6 +42,7 @@
 	return first, true
 }
 
+// sink moves the entry at position i down to its place in the heap order.
 func (h *Heap[V]) sink(i int) {
 	for {
 		least := i
--- a/container/positions.go
+++ b/container/positions.go
@@ -1,9 +1,9 @@
 package container
 
-// Positions is a set of small non-negative integers with constant-time access
-// to its i-th member.
+// Positions is a set of small non-negative integers. Set, Len and At take constant
+// time, except when Set has to extend the index.
 type Positions struct {
-	// members and index agree: members[index[p]-1] == p for each member p, and
+	// members lists the members. For each member p members[index[p]-1] == p, and
 	// index[p] is 0 for every other p.
 	members []int
 	index   []int
@@ -12,10 +12,11 @@
 // Len returns the number of members.
 func (s *Positions) Len() int { return len(s.members) }
 
-// At returns the i-th member in an order that depends on past operations.
+// At returns the i-th member, with 0 <= i < Len(). The order depends on past
+// operations.
 func (s *Positions) At(i int) int { return s.members[i] }
 
-// Set makes p a member or not.
+// Set adds p to the set if member is true, and removes it otherwise.
 func (s *Positions) Set(p int, member bool) {
 	for len(s.index) <= p {
 		s.index = append(s.index, 0)
--- a/container/sums.go
+++ b/container/sums.go
@@ -2,19 +2,20 @@
 
 import "math/bits"
 
-// Buckets is the number of sums of Sums.
+// Buckets is the number of buckets in Sums.
 const Buckets = 64
 
-// Sums tells two sets of hashes apart and where they differ: each hash is added
-// to one of a fixed number of sums.
+// Sums is a digest of a set of named records. The hash of each record is added to
+// one of a fixed number of buckets, so that comparing two digests shows in which
+// buckets the sets differ.
 type Sums struct {
-	// Buckets holds the sums modulo 2^64.
+	// Buckets holds the sum of the hashes in each bucket, modulo 2^64.
 	Buckets [Buckets]uint64
 	// Count is the number of hashes added.
 	Count int
 }
 
-// Bucket returns the bucket of a record by the hash of its name.
+// Bucket returns the bucket for the hash of a record's name: its upper 6 bits.
 func Bucket(nameHash uint64) int { return int(nameHash >> 58) }
 
 // With returns s with a record's hash added to the bucket of its name.
@@ -24,14 +25,15 @@
 	return s
 }
 
-// Without returns s with a record's hash taken out.
+// Without returns s with a record's hash subtracted from the bucket of its name.
 func (s Sums) Without(nameHash, hash uint64) Sums {
 	s.Buckets[Bucket(nameHash)] -= hash
 	s.Count--
 	return s
 }
 
-// Differ returns the set of buckets in which s and o differ, one bit each.
+// Differ returns the set of buckets in which s and o differ, as one bit for each
+// bucket.
 func (s Sums) Differ(o Sums) uint64 {
 	var set uint64
 	for i := range s.Buckets {
@@ -42,7 +44,8 @@
 	return set
 }
 
-// Fold returns one number that differs for most sums that differ.
+// Fold returns a 64-bit hash of s. Different sums may have the same hash, but
+// rarely do.
 func (s Sums) Fold() uint64 {
 	sum := uint64(s.Count)
 	for _, b := range s.Buckets {
@@ -51,22 +54,26 @@
 	return sum
 }
 
-// foldStep is an odd multiplier with many bits set.
+// foldStep is an odd multiplier with many bits set, which mixes the bits of the
+// hash: 2^64 divided by the golden ratio.
 const foldStep = 0x9e3779b97f4a7c15
 
-// farShare is the part by which counts differ if one set is far behind.
-const farShare = 20
+// farDivisor defines the limit of Far: a difference of more than 1/20 of the larger
+// count.
+const farDivisor = 20
 
-// Far tells whether one of s and o lacks a good part of the other.
+// Far reports whether the counts of s and o differ by more than 5% of the larger
+// count.
 func (s Sums) Far(o Sums) bool {
 	difference := s.Count - o.Count
 	if difference < 0 {
 		difference = -difference
 	}
-	return difference*farShare > max(s.Count, o.Count)
+	return difference*farDivisor > max(s.Count, o.Count)
 }
 
-// InBuckets tells whether a name belongs to a set of buckets.
+// InBuckets reports whether the bucket for the hash of a name is in a set of
+// buckets.
 func InBuckets(set, nameHash uint64) bool { return set&(1<<Bucket(nameHash)) != 0 }
 
 // BucketCount returns the number of buckets in a set.
--- a/container/table.go
+++ b/container/table.go
@@ -1,9 +1,10 @@
-// Package container holds the generic containers of the control state. Records
-// stored in them are immutable values: a change stores a new value.
+// Package container provides the generic containers of the control state. Stored
+// records are immutable values: a change stores a new value.
 package container
 
-// Table maps keys to immutable records and keeps them densely, so that a scan
-// touches consecutive memory and its order depends only on past operations.
+// Table is a map from keys to immutable records. Keys and records are stored in
+// slices, so a scan reads consecutive memory, and its order depends only on past
+// operations.
 type Table[K comparable, V any] struct {
 	// index holds the position of each key in keys and values.
 	index map[K]int
@@ -30,13 +31,13 @@
 	return t.values[i], true
 }
 
-// Has tells whether k has a record.
+// Has reports whether k has a record.
 func (t *Table[K, V]) Has(k K) bool {
 	_, ok := t.index[k]
 	return ok
 }
 
-// Put stores v under k in place of any earlier record.
+// Put stores v under k and replaces any earlier record.
 func (t *Table[K, V]) Put(k K, v V) {
 	if i, ok := t.index[k]; ok {
 		t.values[i] = v
@@ -70,7 +71,7 @@
 // SetAt replaces the record at position i.
 func (t *Table[K, V]) SetAt(i int, v V) { t.values[i] = v }
 
-// Position returns the position of k, or -1.
+// Position returns the position of the record of k, or -1 if there is none.
 func (t *Table[K, V]) Position(k K) int {
 	if i, ok := t.index[k]; ok {
 		return i
