--- a/descriptor/dump.go
+++ b/descriptor/dump.go
@@ -4,19 +4,23 @@
 
 // Dump is the state of an instance at one instant.
 type Dump struct {
-	At        time.Time
-	Instance  Member
-	Ready     bool
-	Leaving   bool
-	Watching  bool
+	At       time.Time
+	Instance Member
+	Ready    bool
+	Leaving  bool
+	// Watching reports whether the instance watches the platform's store.
+	Watching bool
+	// Links lists the IDs of the instances with an open link.
 	Links     []string
 	Members   []Member
 	Documents []Reference
 	Declared  []DeclaredDump
 	Services  []ServiceDump
 	Keys      KeyDump
-	Pending   int
-	Notes     []Note
+	// Pending is the number of open requests.
+	Pending int
+	// Notes holds the latest log events, oldest first.
+	Notes []Note
 }
 
 // DeclaredDump describes the revision of a service declaration that is in force.
--- a/relayer/relayer.go
+++ b/relayer/relayer.go
@@ -21,18 +21,18 @@
 	// announceInterval is the time between announcements of an instance that
 	// watches the store.
 	announceInterval = 300 * time.Millisecond
-	// maxConfirmationAge is the age of the last confirmation above which an
+	// maxConfirmationAge is the age of the last confirmation from which on an
 	// instance queries the store itself.
 	maxConfirmationAge = 1200 * time.Millisecond
 	// steadyTime is the time for which announcements must keep arriving before
 	// the instance stops its own queries.
 	steadyTime = time.Second
-	// minOutage is the time without a response of the store above which the gap
-	// counts as an outage.
+	// minOutage is the shortest time without a response of the store that counts
+	// as an outage.
 	minOutage = 2 * time.Second
 	// restoreTime is the time after the end of an outage during which store
 	// entries that expired in the outage may still be registered again. The
-	// platform guarantees about two seconds.
+	// platform guarantees that they return within about two seconds.
 	restoreTime = 2200 * time.Millisecond
 	// fanout is the number of instances to which each instance forwards an
 	// announcement.
