--- a/controller/controller.go
+++ b/controller/controller.go
@@ -182,7 +182,7 @@
 		l.effects.Do(a)
 		return
 	}
-	actions, ok := l.requests[r.For()]
+	actions, ok := l.requests[r.ForRequest()]
 	if !ok {
 		return
 	}
--- a/counter/counter_test.go
+++ b/counter/counter_test.go
@@ -40,8 +40,8 @@
 }
 
 // write applies the scheduled writes to the store and returns the receipts.
-func (x *storeSimulation) write(now time.Time) []Addressed {
-	var receipts []Addressed
+func (x *storeSimulation) write(now time.Time) []AddressedReceipt {
+	var receipts []AddressedReceipt
 	for _, a := range x.writer.Due(now, 3) {
 		w := a.(descriptor.WriteTallies)
 		e := descriptor.Written{At: now, Write: w.Write, Result: descriptor.WriteConflict, Revision: x.revision, Tallies: x.stored}
--- a/counter/writer.go
+++ b/counter/writer.go
@@ -160,15 +160,15 @@
 	return list
 }
 
-// Addressed is a receipt with the instance that it is to be sent to.
-type Addressed struct {
+// AddressedReceipt is a receipt with the instance that it is to be sent to.
+type AddressedReceipt struct {
 	Instance string
 	Receipt  descriptor.Receipt
 }
 
 // Written handles the result of a write. It returns the receipts to send, and
 // whether the write was made by this writer.
-func (w *Writer) Written(e descriptor.Written) ([]Addressed, bool) {
+func (w *Writer) Written(e descriptor.Written) ([]AddressedReceipt, bool) {
 	for _, p := range w.byService.All {
 		if p.write == 0 || p.write != e.Write {
 			continue
@@ -179,7 +179,7 @@
 	return nil, false
 }
 
-func (p *serviceTallies) finish(e descriptor.Written) []Addressed {
+func (p *serviceTallies) finish(e descriptor.Written) []AddressedReceipt {
 	switch e.Result {
 	case descriptor.WriteAccepted:
 		p.revision = e.Revision
@@ -227,8 +227,8 @@
 }
 
 // receipts returns the receipts for the tallies that were just written.
-func (p *serviceTallies) receipts() []Addressed {
-	var result []Addressed
+func (p *serviceTallies) receipts() []AddressedReceipt {
+	var result []AddressedReceipt
 	for _, t := range p.writing {
 		owner := Owner(t)
 		if v, _ := p.stored.Get(owner); v >= t.Version {
@@ -236,7 +236,7 @@
 		}
 		p.stored.Put(owner, t.Version)
 		receipt := descriptor.Receipt{Service: t.Service, Incarnation: t.Incarnation, Version: t.Version}
-		result = append(result, Addressed{Instance: t.Instance, Receipt: receipt})
+		result = append(result, AddressedReceipt{Instance: t.Instance, Receipt: receipt})
 	}
 	return result
 }
--- a/descriptor/actions.go
+++ b/descriptor/actions.go
@@ -8,8 +8,8 @@
 // RequestAction is an action that the traffic goroutine of a request carries out.
 type RequestAction interface {
 	Action
-	// For returns the ID of the request that the action belongs to.
-	For() RequestID
+	// ForRequest returns the ID of the request that the action belongs to.
+	ForRequest() RequestID
 }
 
 // Dispatch sends a request to a backend server.
@@ -121,14 +121,14 @@
 func (Note) action()         {}
 func (Leave) action()        {}
 
-// For implements RequestAction.
-func (a Dispatch) For() RequestID { return a.Request }
+// ForRequest implements RequestAction.
+func (a Dispatch) ForRequest() RequestID { return a.Request }
 
-// For implements RequestAction.
-func (a Deliver) For() RequestID { return a.Request }
+// ForRequest implements RequestAction.
+func (a Deliver) ForRequest() RequestID { return a.Request }
 
-// For implements RequestAction.
-func (a Cancel) For() RequestID { return a.Request }
+// ForRequest implements RequestAction.
+func (a Cancel) ForRequest() RequestID { return a.Request }
 
-// For implements RequestAction.
-func (a Refuse) For() RequestID { return a.Request }
+// ForRequest implements RequestAction.
+func (a Refuse) ForRequest() RequestID { return a.Request }
