--- a/counter/writer.go
+++ b/counter/writer.go
@@ -77,51 +77,51 @@
 
 // serviceTallies returns the state of a service and creates it if needed.
 func (w *Writer) serviceTallies(service string) *serviceTallies {
-	p, ok := w.byService.Get(service)
+	s, ok := w.byService.Get(service)
 	if !ok {
-		p = &serviceTallies{
+		s = &serviceTallies{
 			tallies: container.NewTable[string, descriptor.Tally](),
 			stored:  container.NewTable[string, uint64](),
 			jitter:  float64(xxhash.Sum64String(service)>>11) / (1 << 53),
 		}
-		w.byService.Put(service, p)
+		w.byService.Put(service, s)
 	}
-	return p
+	return s
 }
 
 // Merge adds a tally to the next write. Versions that are not newer than the known
 // one and tallies that are already folded are ignored.
 func (w *Writer) Merge(t descriptor.Tally) {
-	p := w.serviceTallies(t.Service)
-	if p.isFolded(t) {
+	s := w.serviceTallies(t.Service)
+	if s.isFolded(t) {
 		return
 	}
-	if p.merge(t) {
-		p.dirty = true
-		p.urgent = p.urgent || t.Final
+	if s.merge(t) {
+		s.dirty = true
+		s.urgent = s.urgent || t.Final
 	}
 }
 
 // merge stores a tally and reports whether it is newer than the known one.
-func (p *serviceTallies) merge(t descriptor.Tally) bool {
+func (s *serviceTallies) merge(t descriptor.Tally) bool {
 	owner := Owner(t)
-	old, ok := p.tallies.Get(owner)
+	old, ok := s.tallies.Get(owner)
 	if ok && old.Version >= t.Version {
 		return false
 	}
-	p.tallies.Put(owner, t)
+	s.tallies.Put(owner, t)
 	return true
 }
 
 // isFolded reports whether the folded tally contains t.
-func (p *serviceTallies) isFolded(t descriptor.Tally) bool {
-	_, found := slices.BinarySearch(p.folded(), Owner(t))
+func (s *serviceTallies) isFolded(t descriptor.Tally) bool {
+	_, found := slices.BinarySearch(s.folded(), Owner(t))
 	return found
 }
 
 // folded returns the sorted owners of the tallies that the folded tally contains.
-func (p *serviceTallies) folded() []string {
-	t, _ := p.tallies.Get(Owner(descriptor.Tally{Instance: FoldedInstance}))
+func (s *serviceTallies) folded() []string {
+	t, _ := s.tallies.Get(Owner(descriptor.Tally{Instance: FoldedInstance}))
 	return t.Folded
 }
 
@@ -130,30 +130,30 @@
 func (w *Writer) Due(now time.Time, services int) []descriptor.Action {
 	every := WriteInterval(services)
 	var actions []descriptor.Action
-	for service, p := range w.byService.All {
-		if !p.dirty || p.write != 0 || now.Before(p.nextAt) && !p.urgent {
+	for service, s := range w.byService.All {
+		if !s.dirty || s.write != 0 || now.Before(s.nextAt) && !s.urgent {
 			continue
 		}
-		p.write = w.next()
-		p.nextAt = now.Add(every)
-		p.interval = every
-		p.dirty = false
-		p.urgent = false
-		p.writing = Fold(p.list(), now)
+		s.write = w.next()
+		s.nextAt = now.Add(every)
+		s.interval = every
+		s.dirty = false
+		s.urgent = false
+		s.writing = Fold(s.list(), now)
 		actions = append(actions, descriptor.WriteTallies{
-			Write:   p.write,
+			Write:   s.write,
 			Service: service,
-			Tallies: p.writing,
-			Expect:  p.revision,
+			Tallies: s.writing,
+			Expect:  s.revision,
 		})
 	}
 	return actions
 }
 
 // list returns the tallies sorted by owner.
-func (p *serviceTallies) list() []descriptor.Tally {
-	list := make([]descriptor.Tally, 0, p.tallies.Len())
-	for _, t := range p.tallies.All {
+func (s *serviceTallies) list() []descriptor.Tally {
+	list := make([]descriptor.Tally, 0, s.tallies.Len())
+	for _, t := range s.tallies.All {
 		list = append(list, t)
 	}
 	sort.Slice(list, func(i, j int) bool { return Owner(list[i]) < Owner(list[j]) })
@@ -169,72 +169,72 @@
 // Written handles the result of a write. It returns the receipts to send, and
 // whether the write was made by this writer.
 func (w *Writer) Written(e descriptor.Written) ([]AddressedReceipt, bool) {
-	for _, p := range w.byService.All {
-		if p.write == 0 || p.write != e.Write {
+	for _, s := range w.byService.All {
+		if s.write == 0 || s.write != e.Write {
 			continue
 		}
-		p.write = 0
-		return p.finish(e), true
+		s.write = 0
+		return s.finish(e), true
 	}
 	return nil, false
 }
 
-func (p *serviceTallies) finish(e descriptor.Written) []AddressedReceipt {
+func (s *serviceTallies) finish(e descriptor.Written) []AddressedReceipt {
 	switch e.Result {
 	case descriptor.WriteAccepted:
-		p.revision = e.Revision
-		p.failures = 0
-		p.adoptFolded()
-		return p.receipts()
+		s.revision = e.Revision
+		s.failures = 0
+		s.adoptFolded()
+		return s.receipts()
 	case descriptor.WriteConflict:
-		p.revision = e.Revision
+		s.revision = e.Revision
 		for _, t := range e.Tallies {
-			p.merge(t)
+			s.merge(t)
 		}
-		p.dropFolded()
-		p.nextAt = e.At
+		s.dropFolded()
+		s.nextAt = e.At
 	case descriptor.WriteUnavailable, descriptor.WriteUnknown:
-		p.nextAt = e.At.Add(p.backoff())
-		p.urgent = false
+		s.nextAt = e.At.Add(s.backoff())
+		s.urgent = false
 	}
-	p.dirty = true
+	s.dirty = true
 	return nil
 }
 
 // adoptFolded removes the tallies that the last write folded, and keeps the
 // folded tally instead.
-func (p *serviceTallies) adoptFolded() {
-	for _, t := range p.writing {
+func (s *serviceTallies) adoptFolded() {
+	for _, t := range s.writing {
 		if t.Instance == FoldedInstance {
-			p.merge(t)
+			s.merge(t)
 		}
 	}
-	p.dropFolded()
+	s.dropFolded()
 }
 
 // dropFolded removes the tallies that the folded tally contains.
-func (p *serviceTallies) dropFolded() {
-	for _, owner := range p.folded() {
-		p.tallies.Delete(owner)
+func (s *serviceTallies) dropFolded() {
+	for _, owner := range s.folded() {
+		s.tallies.Delete(owner)
 	}
 }
 
 // backoff counts a failed write and returns the time to wait before the next one.
-func (p *serviceTallies) backoff() time.Duration {
-	wait := min(p.interval, initialBackoff<<min(p.failures, 8))
-	p.failures++
-	return wait/2 + time.Duration(p.jitter*float64(wait))
+func (s *serviceTallies) backoff() time.Duration {
+	wait := min(s.interval, initialBackoff<<min(s.failures, 8))
+	s.failures++
+	return wait/2 + time.Duration(s.jitter*float64(wait))
 }
 
 // receipts returns the receipts for the tallies that were just written.
-func (p *serviceTallies) receipts() []AddressedReceipt {
+func (s *serviceTallies) receipts() []AddressedReceipt {
 	var result []AddressedReceipt
-	for _, t := range p.writing {
+	for _, t := range s.writing {
 		owner := Owner(t)
-		if v, _ := p.stored.Get(owner); v >= t.Version {
+		if v, _ := s.stored.Get(owner); v >= t.Version {
 			continue
 		}
-		p.stored.Put(owner, t.Version)
+		s.stored.Put(owner, t.Version)
 		receipt := descriptor.Receipt{Service: t.Service, Incarnation: t.Incarnation, Version: t.Version}
 		result = append(result, AddressedReceipt{Instance: t.Instance, Receipt: receipt})
 	}
@@ -244,8 +244,8 @@
 // Unwritten returns the number of services with tallies that are not in the store.
 func (w *Writer) Unwritten() int {
 	n := 0
-	for _, p := range w.byService.All {
-		if p.dirty || p.write != 0 {
+	for _, s := range w.byService.All {
+		if s.dirty || s.write != 0 {
 			n++
 		}
 	}
