--- a/descriptor/events.go
+++ b/descriptor/events.go
@@ -155,7 +155,7 @@
 	WriteAccepted WriteResult = iota
 	// WriteConflict means that the store held another revision than expected.
 	WriteConflict
-	// WriteUnavailable means that the write did not reach the store.
+	// WriteUnavailable means that the write was not made.
 	WriteUnavailable
 	// WriteUnknown means that the reply was lost and the write may have happened.
 	WriteUnknown
--- a/descriptor/messages.go
+++ b/descriptor/messages.go
@@ -38,6 +38,7 @@
 
 // Hello is the first message on a link in each direction.
 type Hello struct {
+	// Protocol is the version of the protocol between instances.
 	Protocol int
 	From     Member
 }
@@ -174,7 +175,8 @@
 
 // Crash reports that a backend server crashed after a request was sent to it.
 type Crash struct {
-	Service     string
+	Service string
+	// Fingerprint identifies the request; see Arrived.
 	Fingerprint uint64
 	// Backend is the backend server that crashed.
 	Backend string
--- a/keeper/handover.go
+++ b/keeper/handover.go
@@ -52,8 +52,8 @@
 }
 
 // HearInherit stores the keys of one handover message. After the last message this
-// instance decides about the keys of the issuer that left, unless a message was
-// lost: then these keys stay unsettled.
+// instance decides about the keys of the issuer that left. If a message was lost it
+// does not, and requests with these keys are refused as unsettled.
 func (k *Keeper) HearInherit(m descriptor.Inherit) {
 	for _, r := range m.Keys {
 		if r.State < int(stateRunning) || r.State > int(stateFree) || len(r.Key) > 2*MaxKey {
