--- a/loader/deployment.go
+++ b/loader/deployment.go
@@ -8,20 +8,24 @@
 	"monsoonswitch/imitator"
 )
 
-// deployment is one of the deployments that scenarios run in.
+// deployment describes the failure domains, services and backend servers that a
+// scenario runs with.
 type deployment struct {
 	domains  []string
 	services []declarer.Service
 	// sizes holds the number of backend servers by service.
 	sizes map[string]int
+	// slots is the number of slots of each backend server.
 	slots int
 }
 
-// Properties of the stand-ins of backend servers.
+// Properties of the backend server stand-ins.
 const (
-	medianTime = 20 * time.Millisecond
-	spread     = 0.5
-	downTime   = 700 * time.Millisecond
+	medianServiceTime = 20 * time.Millisecond
+	// serviceTimeSpread is the standard deviation of the logarithm of the service time.
+	serviceTimeSpread = 0.5
+	// crashDownTime is how long a backend server is down after a crash.
+	crashDownTime = 700 * time.Millisecond
 )
 
 func deploymentOf(name string) (deployment, error) {
@@ -54,7 +58,8 @@
 	return declarer.Service{}, false
 }
 
-// groups returns the backend servers of the deployment.
+// groups returns the backend servers to start for each service. Every service
+// gets its own range of seeds, derived from seed.
 func (d deployment) groups(seed uint64) []assembler.Group {
 	var result []assembler.Group
 	for _, s := range d.services {
@@ -64,9 +69,9 @@
 			Options: imitator.BackendOptions{
 				Slots:   d.slots,
 				Backlog: 1,
-				Median:  medianTime,
-				Spread:  spread,
-				Down:    downTime,
+				Median:  medianServiceTime,
+				Spread:  serviceTimeSpread,
+				Down:    crashDownTime,
 				Seed:    seed + uint64(len(result))*1000,
 			},
 		})
--- a/loader/exchange.go
+++ b/loader/exchange.go
@@ -11,11 +11,13 @@
 	"github.com/zeromicro/go-zero/rest/httpc"
 )
 
-// exchangeTimeout bounds a call to a process under test.
+// exchangeTimeout bounds one HTTP call to a process under test.
 const exchangeTimeout = 5 * time.Second
 
-// exchange posts a value to a process under test, or asks it if there is none,
-// and reads the answer.
+// exchange sends an HTTP request to a process under test and decodes its JSON
+// response into receive. It posts send as JSON, or sends a GET if send is nil; a
+// nil receive ignores the response. It returns an error if the call or the
+// encoding fails.
 func exchange(address, path string, send, receive any) error {
 	ctx, cancel := context.WithTimeout(context.Background(), exchangeTimeout)
 	defer cancel()
@@ -24,20 +26,20 @@
 	if send != nil {
 		method = http.MethodPost
 		if err := json.NewEncoder(&body).Encode(send); err != nil {
-			return eris.Wrap(err, "encode")
+			return eris.Wrap(err, "encode request body")
 		}
 	}
 	r, err := http.NewRequestWithContext(ctx, method, "http://"+address+path, &body)
 	if err != nil {
-		return eris.Wrap(err, "build call")
+		return eris.Wrap(err, "build request")
 	}
 	response, err := httpc.DoRequest(r)
 	if err != nil {
-		return eris.Wrap(err, "call")
+		return eris.Wrap(err, "send request")
 	}
 	defer response.Body.Close()
 	if receive == nil {
 		return nil
 	}
-	return eris.Wrap(json.NewDecoder(response.Body).Decode(receive), "read answer")
+	return eris.Wrap(json.NewDecoder(response.Body).Decode(receive), "decode response")
 }
--- a/loader/fault.go
+++ b/loader/fault.go
@@ -8,7 +8,8 @@
 	"monsoonswitch/imitator"
 )
 
-// inject switches one fault on and off at its times.
+// inject applies one fault from f.From until f.To, both relative to the start of
+// the scenario.
 func (r *Runner) inject(ctx context.Context, f Fault) {
 	if !sleepUntil(ctx, r.started.Add(f.From)) {
 		return
@@ -63,16 +64,16 @@
 	}
 	now := time.Now()
 	if f.Kind == FaultDrain {
-		r.watch.expectDrain(b)
+		r.monitor.expectDrain(b)
 	} else {
-		r.watch.expectGray(b, now)
+		r.monitor.expectGray(b, now)
 	}
 	b.SetFault(fault)
 	sleepUntil(ctx, r.started.Add(f.To))
 	b.SetFault(imitator.BackendFault{})
 }
 
-// backendAt returns the i-th backend server of a service.
+// backendAt returns the i-th backend server of a service, counted from 0.
 func (r *Runner) backendAt(service string, i int) (backend, bool) {
 	for _, b := range r.fleet.Backends() {
 		if b.Service() != service {
@@ -86,7 +87,8 @@
 	return nil, false
 }
 
-// cutLinks stops one direction of the links that an instance accepted.
+// cutLinks blocks the inbound direction of the links that an instance accepted
+// until f.To.
 func (r *Runner) cutLinks(ctx context.Context, f Fault) {
 	if err := r.fleet.Cut(f.Index); err != nil {
 		fmt.Fprintf(r.progress, "      fault %s: %v\n", f.Name, err)
@@ -96,7 +98,7 @@
 	r.fleet.Heal(f.Index)
 }
 
-// replaceAll replaces every instance, one after the other.
+// replaceAll performs a rolling replacement of all instances.
 func (r *Runner) replaceAll(ctx context.Context, f Fault) {
 	for range r.scenario.Instances {
 		if ctx.Err() != nil {
@@ -107,5 +109,5 @@
 			return
 		}
 	}
-	fmt.Fprintf(r.progress, "      fault %s: every instance was replaced\n", f.Name)
+	fmt.Fprintf(r.progress, "      fault %s: all instances replaced\n", f.Name)
 }
--- a/loader/fleet.go
+++ b/loader/fleet.go
@@ -13,48 +13,51 @@
 	"monsoonswitch/storer"
 )
 
-// ErrFleet reports a fleet that can't do what a scenario needs.
-var ErrFleet = eris.New("fleet can't run the scenario")
+// ErrFleet reports a fleet that does not support an operation of the scenario.
+var ErrFleet = eris.New("fleet does not support the scenario")
 
-// backend is a backend server of a fleet under test.
+// backend controls one backend server of a fleet under test.
 type backend interface {
-	// Service and ID name it.
+	// Service and ID return the service name and the backend server's ID.
 	Service() string
 	ID() string
-	// SetFault replaces its faults.
+	// SetFault replaces the active faults.
 	SetFault(imitator.BackendFault)
-	// Counts returns what it counted.
+	// Counts returns the counters of the backend server.
 	Counts() imitator.BackendCounts
 }
 
-// fleet is a fleet under test, in this process or in others.
+// fleet controls a fleet under test, in this process or in other processes.
 type fleet interface {
-	// Entries returns the addresses of instances for callers.
+	// Entries returns the instances' listening addresses for callers.
 	Entries() []string
 	// Backends returns the backend servers.
 	Backends() []backend
-	// SetStoreFault replaces the faults of the platform.
+	// SetStoreFault replaces the active faults of the platform's store.
 	SetStoreFault(imitator.StoreFault)
-	// Peek reads the store.
+	// Peek returns the item stored under key; false means that there is none or
+	// that the read failed.
 	Peek(key string) (storer.Item, bool)
-	// Dumps returns the states of the instances.
+	// Dumps returns the state dumps of the instances that answer.
 	Dumps() []descriptor.Dump
-	// Replace replaces one instance.
+	// Replace starts one instance and shuts the oldest one down. It returns an
+	// error if the fleet cannot start instances.
 	Replace() error
-	// Cut stops what others send over links that an instance accepted, and
-	// Heal ends that.
+	// Cut blocks the inbound direction of the links that an instance accepted,
+	// and Heal restores it. Cut returns an error if no proxy precedes the instance.
 	Cut(instance int) error
 	Heal(instance int)
-	// Finish ends the fleet gracefully, or waits until its counts are stored.
+	// Finish shuts the fleet down gracefully, or waits until a fleet of other
+	// processes has stored its last tallies.
 	Finish()
-	// Close ends everything that the fleet started.
+	// Close stops everything that the fleet started.
 	Close()
 }
 
-// local is a fleet in this process.
-type local struct{ *assembler.Fleet }
+// localFleet is a fleet in this process.
+type localFleet struct{ *assembler.Fleet }
 
-// cutsLinks tells whether a scenario cuts links between instances.
+// cutsLinks reports whether the scenario cuts links between instances.
 func (s Scenario) cutsLinks() bool {
 	for _, f := range s.Faults {
 		if f.Kind == FaultOneWay {
@@ -64,11 +67,12 @@
 	return false
 }
 
-// localBackend is a backend server of it.
+// localBackend is a backend server of a localFleet.
 type localBackend struct{ *assembler.Backend }
 
-// newLocal starts a fleet for a scenario.
-func newLocal(s Scenario, d deployment) (fleet, error) {
+// newLocalFleet starts a fleet for a scenario. It returns an error if the fleet does
+// not become ready.
+func newLocalFleet(s Scenario, d deployment) (fleet, error) {
 	f, err := assembler.New(assembler.Options{
 		Domains:   d.domains,
 		Instances: s.Instances,
@@ -76,12 +80,12 @@
 		Services:  d.services,
 		Policy:    s.Policy,
 		Proxied:   s.cutsLinks(),
-		Keep:      keepTime,
+		Keep:      addressKeepTime,
 	})
 	if err != nil {
 		return nil, err
 	}
-	return local{f}, nil
+	return localFleet{f}, nil
 }
 
 // Service implements backend.
@@ -97,7 +101,7 @@
 func (b localBackend) Counts() imitator.BackendCounts { return b.Stand.Counts() }
 
 // Backends implements fleet.
-func (l local) Backends() []backend {
+func (l localFleet) Backends() []backend {
 	var result []backend
 	for _, b := range l.Fleet.Backends {
 		result = append(result, localBackend{b})
@@ -106,13 +110,13 @@
 }
 
 // SetStoreFault implements fleet.
-func (l local) SetStoreFault(f imitator.StoreFault) { l.Store.SetFault(f) }
+func (l localFleet) SetStoreFault(f imitator.StoreFault) { l.Store.SetFault(f) }
 
-// Peek implements fleet. It sees the store past its faults.
-func (l local) Peek(key string) (storer.Item, bool) { return l.Store.Peek(key) }
+// Peek implements fleet. It reads the store directly, unaffected by store faults.
+func (l localFleet) Peek(key string) (storer.Item, bool) { return l.Store.Peek(key) }
 
 // Dumps implements fleet.
-func (l local) Dumps() []descriptor.Dump {
+func (l localFleet) Dumps() []descriptor.Dump {
 	var result []descriptor.Dump
 	for _, s := range l.Servers() {
 		if d, ok := s.Dump(); ok {
@@ -123,29 +127,33 @@
 }
 
 // Cut implements fleet.
-func (l local) Cut(i int) error { return l.Fleet.Cut(i, assembler.Inward) }
+func (l localFleet) Cut(i int) error { return l.Fleet.Cut(i, assembler.Inward) }
 
 // Finish implements fleet.
-func (l local) Finish() { l.Shutdown() }
+func (l localFleet) Finish() { l.Shutdown() }
 
-// Remote names a fleet of other processes with the stand-ins around it.
+// Remote holds the addresses of a fleet whose instances and stand-ins run in other
+// processes.
 type Remote struct {
-	// Store is the address of the stand-in of the platform.
+	// Store is the address of the platform's stand-in.
 	Store string
-	// Entries and Operators are the addresses of the instances.
+	// Entries are the instances' addresses for callers, Operators those for
+	// operators.
 	Entries, Operators []string
 }
 
-// remote is a fleet of other processes.
-type remote struct {
+// remoteFleet is a fleet of other processes.
+type remoteFleet struct {
 	addresses Remote
 	client    *storer.Client
 	backends  []backend
 }
 
-// newRemote finds the backend servers of a fleet that runs.
-func newRemote(a Remote) (fleet, error) {
-	r := &remote{addresses: a, client: storer.NewClient(a.Store)}
+// newRemoteFleet reads the backend servers of a running fleet from the platform. It
+// returns an error if no backend servers are listed or no instance addresses are
+// given.
+func newRemoteFleet(a Remote) (fleet, error) {
+	r := &remoteFleet{addresses: a, client: storer.NewClient(a.Store)}
 	listing, err := r.client.Instances(context.Background(), 0, 0)
 	if err != nil {
 		return nil, err
@@ -156,12 +164,12 @@
 		}
 	}
 	if len(r.backends) == 0 || len(a.Entries) == 0 {
-		return nil, eris.Wrap(ErrFleet, "no backend servers or no instances")
+		return nil, eris.Wrap(ErrFleet, "no backend servers listed or no instance addresses given")
 	}
 	return r, nil
 }
 
-// remoteBackend is a stand-in of a backend server in another process.
+// remoteBackend is a backend server stand-in in another process.
 type remoteBackend struct {
 	service string
 	listed  descriptor.Backend
@@ -178,7 +186,7 @@
 	_ = exchange(b.listed.Address, imitator.FaultPath, f, nil)
 }
 
-// Counts implements backend. One that does not answer counted nothing.
+// Counts implements backend. It returns zero counts if the process does not answer.
 func (b remoteBackend) Counts() imitator.BackendCounts {
 	var c imitator.BackendCounts
 	_ = exchange(b.listed.Address, imitator.CountsPath, nil, &c)
@@ -186,24 +194,24 @@
 }
 
 // Entries implements fleet.
-func (r *remote) Entries() []string { return r.addresses.Entries }
+func (r *remoteFleet) Entries() []string { return r.addresses.Entries }
 
 // Backends implements fleet.
-func (r *remote) Backends() []backend { return r.backends }
+func (r *remoteFleet) Backends() []backend { return r.backends }
 
 // SetStoreFault implements fleet.
-func (r *remote) SetStoreFault(f imitator.StoreFault) {
+func (r *remoteFleet) SetStoreFault(f imitator.StoreFault) {
 	_ = exchange(r.addresses.Store, imitator.FaultPath, f, nil)
 }
 
-// Peek implements fleet. During an outage nothing is found.
-func (r *remote) Peek(key string) (storer.Item, bool) {
+// Peek implements fleet. It finds nothing while the store is unavailable.
+func (r *remoteFleet) Peek(key string) (storer.Item, bool) {
 	item, err := r.client.Get(context.Background(), key)
 	return item, err == nil
 }
 
 // Dumps implements fleet.
-func (r *remote) Dumps() []descriptor.Dump {
+func (r *remoteFleet) Dumps() []descriptor.Dump {
 	var result []descriptor.Dump
 	for _, a := range r.addresses.Operators {
 		var d struct{ State descriptor.Dump }
@@ -214,20 +222,24 @@
 	return result
 }
 
-// Replace implements fleet: a process starts no other.
-func (r *remote) Replace() error { return eris.Wrap(ErrFleet, "instances are other processes") }
+// Replace implements fleet. It always fails, since instances in other processes
+// cannot be started from here.
+func (r *remoteFleet) Replace() error { return eris.Wrap(ErrFleet, "instances run in other processes") }
 
-// Cut implements fleet.
-func (r *remote) Cut(int) error { return eris.Wrap(ErrFleet, "no proxies before the instances") }
+// Cut implements fleet. It always fails, since no proxy precedes the instances.
+func (r *remoteFleet) Cut(int) error {
+	return eris.Wrap(ErrFleet, "no proxies in front of the instances")
+}
 
-// Heal implements fleet.
-func (r *remote) Heal(int) {}
+// Heal implements fleet. It does nothing, since Cut always fails.
+func (r *remoteFleet) Heal(int) {}
 
-// storeTime is how long the last counts take to the store.
-const storeTime = 15 * time.Second
+// tallyFlushTime is the longest time that the last tallies take to reach the
+// store.
+const tallyFlushTime = 15 * time.Second
 
 // Finish implements fleet.
-func (r *remote) Finish() { time.Sleep(storeTime) }
+func (r *remoteFleet) Finish() { time.Sleep(tallyFlushTime) }
 
 // Close implements fleet.
-func (r *remote) Close() {}
+func (r *remoteFleet) Close() {}
--- a/loader/html.go
+++ b/loader/html.go
@@ -10,14 +10,14 @@
 	"monsoonswitch/plotter"
 )
 
-// resultPage is what the template shows.
+// resultPage is the data of resultTemplate.
 type resultPage struct {
 	Result
 	Plots []template.HTML
 }
 
 var resultTemplate = template.Must(template.New("result").Funcs(template.FuncMap{
-	"span": spanText, "reasons": reasonText, "held": Result.Held,
+	"duration": durationText, "reasons": reasonsText, "held": Result.Held,
 }).Parse(`<!DOCTYPE html>
 <html lang="en"><head><meta charset="utf-8"><title>{{.Scenario}}</title>
 <style>
@@ -32,7 +32,7 @@
 {{range .Work}}<tr><td>{{.Name}}</td><td>{{.Sent}}</td><td>{{.Served}}</td><td>{{.NotRun}}</td><td>{{.MayHaveRun}}</td><td>{{.Unknown}}</td><td>{{.P50}}</td><td>{{.P99}}</td><td>{{reasons .Reasons}}</td></tr>
 {{end}}</table>
 <table><tr><th>gray backend server</th><th>avoided after</th><th>ejected after</th></tr>
-{{range .Detections}}<tr><td>{{.Backend}}</td><td>{{span .Avoided}}</td><td>{{span .Ejected}}</td></tr>
+{{range .Detections}}<tr><td>{{.Backend}}</td><td>{{duration .Avoided}}</td><td>{{duration .Ejected}}</td></tr>
 {{end}}</table>
 <table><tr><th>ejection</th><th>second</th><th>gray</th></tr>
 {{range .Ejections}}<tr><td>{{.Service}} {{.Backend}}</td><td>{{printf "%.2f" .Second}}</td><td>{{.Gray}}</td></tr>
@@ -41,7 +41,8 @@
 </body></html>
 `))
 
-// HTML writes the result as a page with plots.
+// HTML writes the result as an HTML page with plots. It returns an error if drawing
+// or writing fails.
 func (r Result) HTML(out io.Writer) error {
 	page := resultPage{Result: r}
 	series := []struct {
@@ -62,6 +63,7 @@
 	return eris.Wrap(resultTemplate.Execute(out, page), "write page")
 }
 
+// lines returns one plot line for each kind of work, with value by second.
 func (r Result) lines(value func(SecondResult) float64) []plotter.Line {
 	var lines []plotter.Line
 	for _, w := range r.Work {
--- a/loader/keys_test.go
+++ b/loader/keys_test.go
@@ -7,7 +7,7 @@
 	"monsoonswitch/asserter"
 )
 
-// TestKeys guards the names of the fields of a result in JSON.
+// TestKeys checks the JSON keys of a result, which other tools read.
 func TestKeys(t *testing.T) {
 	asserter.Keys(t, "testdata/keys.golden", map[string]any{
 		"result": Result{},
--- a/loader/loader_test.go
+++ b/loader/loader_test.go
@@ -20,7 +20,7 @@
 	}
 }
 
-// TestDemo runs the demo shortened: every promise must hold.
+// TestDemo runs a shortened demo scenario: every guarantee must hold.
 func TestDemo(t *testing.T) {
 	s, err := Load("demo")
 	asserter.NoError(t, "load", err)
--- /dev/null
+++ b/loader/monitor.go
@@ -0,0 +1,218 @@
+package loader
+
+import (
+	"context"
+	"encoding/json"
+	"sync"
+	"time"
+
+	"monsoonswitch/descriptor"
+	"monsoonswitch/imitator"
+	"monsoonswitch/storer"
+)
+
+// checkInterval is the time between two checks of the fleet.
+const checkInterval = 25 * time.Millisecond
+
+// grayBackend is a backend server with an injected fault.
+type grayBackend struct {
+	backend backend
+	since   time.Time
+	// avoided and ejected are the times at which this was first observed; zero
+	// means never.
+	avoided, ejected time.Time
+}
+
+// drainingBackend is a backend server that announced that it is draining.
+type drainingBackend struct {
+	backend backend
+	since   time.Time
+	// after holds the counts drainLimit after the announcement.
+	after *imitator.BackendCounts
+}
+
+// drainLimit is the time after which a draining backend server must not receive new
+// work.
+const drainLimit = 2 * time.Second
+
+// Ejection is one observed ejection. Second is its time in seconds from the start
+// of the scenario; Gray reports whether the backend server had a fault.
+type Ejection struct {
+	Service string  `json:"service"`
+	Backend string  `json:"backend"`
+	Second  float64 `json:"second"`
+	Gray    bool    `json:"gray"`
+}
+
+// monitor checks the store and the instances periodically while a scenario runs.
+type monitor struct {
+	fleet      fleet
+	deployment deployment
+	started    time.Time
+	cancel     context.CancelFunc
+	done       chan struct{}
+
+	mu     sync.Mutex
+	grays  []*grayBackend
+	drains []*drainingBackend
+	// seen holds the start of the last ejection of each SERVICE/BACKEND.
+	seen      map[string]time.Time
+	ejections []Ejection
+	// breaches counts checks that found fewer backend servers than the floor.
+	breaches int
+	// active is the number of ejections in force at the last check.
+	active int
+}
+
+// newMonitor starts a monitor, which runs until stop is called.
+func newMonitor(f fleet, d deployment, started time.Time) *monitor {
+	ctx, cancel := context.WithCancel(context.Background())
+	m := &monitor{
+		fleet:      f,
+		deployment: d,
+		started:    started,
+		cancel:     cancel,
+		done:       make(chan struct{}),
+		seen:       make(map[string]time.Time),
+	}
+	go func() {
+		defer close(m.done)
+		ticker := time.NewTicker(checkInterval)
+		defer ticker.Stop()
+		for {
+			select {
+			case now := <-ticker.C:
+				m.check(now)
+			case <-ctx.Done():
+				return
+			}
+		}
+	}()
+	return m
+}
+
+func (m *monitor) stop() {
+	m.cancel()
+	<-m.done
+}
+
+// ejected returns the number of backend servers ejected now.
+func (m *monitor) ejected() int {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.active
+}
+
+// expectGray records that a fault was injected into a backend server.
+func (m *monitor) expectGray(b backend, now time.Time) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.grays = append(m.grays, &grayBackend{backend: b, since: now})
+}
+
+// expectDrain records that a backend server was set to draining.
+func (m *monitor) expectDrain(b backend) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.drains = append(m.drains, &drainingBackend{backend: b, since: time.Now()})
+}
+
+func (m *monitor) check(now time.Time) {
+	active := 0
+	for _, s := range m.deployment.services {
+		active += m.checkEjections(s.Name, s.Keep(m.deployment.sizes[s.Name]), now)
+	}
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.active = active
+	for _, g := range m.grays {
+		if g.avoided.IsZero() && m.isAvoided(g.backend) {
+			g.avoided = now
+		}
+	}
+	for _, d := range m.drains {
+		if d.after == nil && now.Sub(d.since) >= drainLimit {
+			c := d.backend.Counts()
+			d.after = &c
+		}
+	}
+}
+
+// checkEjections records new ejections of a service, checks its floor and returns
+// the number of ejections in force.
+func (m *monitor) checkEjections(service string, keep int, now time.Time) int {
+	list := m.ejectionsOf(service)
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	active := 0
+	for _, e := range list {
+		if !now.Before(e.Until) {
+			continue
+		}
+		active++
+		id := service + "/" + e.Backend
+		if m.seen[id].Equal(e.Since) {
+			continue
+		}
+		m.seen[id] = e.Since
+		m.ejections = append(m.ejections, Ejection{
+			Service: service,
+			Backend: e.Backend,
+			Second:  e.Since.Sub(m.started).Seconds(),
+			Gray:    m.markEjected(e, now),
+		})
+	}
+	if m.deployment.sizes[service]-active < keep {
+		m.breaches++
+	}
+	return active
+}
+
+// markEjected records the ejection of a gray backend server. It reports whether the
+// ejected backend server has an injected fault.
+func (m *monitor) markEjected(e descriptor.Ejection, now time.Time) bool {
+	found := false
+	for _, g := range m.grays {
+		if g.backend.ID() != e.Backend {
+			continue
+		}
+		found = true
+		if g.ejected.IsZero() {
+			g.ejected = now
+		}
+	}
+	return found
+}
+
+// ejectionsOf returns the stored ejections of a service.
+func (m *monitor) ejectionsOf(service string) []descriptor.Ejection {
+	item, ok := m.fleet.Peek(storer.EjectKey(service))
+	if !ok {
+		return nil
+	}
+	var list []descriptor.Ejection
+	if json.Unmarshal(item.Value, &list) != nil {
+		return nil
+	}
+	return list
+}
+
+// isAvoided reports whether every instance that serves the backend server's service
+// avoids it or does not consider it ready.
+func (m *monitor) isAvoided(b backend) bool {
+	serving, avoiding := 0, 0
+	for _, d := range m.fleet.Dumps() {
+		for _, v := range d.Services {
+			if v.Name != b.Service() {
+				continue
+			}
+			serving++
+			for _, x := range v.Backends {
+				if x.ID == b.ID() && (x.Avoided || x.State != "ready") {
+					avoiding++
+				}
+			}
+		}
+	}
+	return serving > 0 && avoiding == serving
+}
--- a/loader/record.go
+++ b/loader/record.go
@@ -11,14 +11,14 @@
 	"monsoonswitch/imitator"
 )
 
-// Bounds of latency histograms in microseconds.
+// Bounds of latency histograms in microseconds, and their significant digits.
 const (
 	histogramLow    = 10
 	histogramHigh   = 300_000_000
 	histogramDigits = 3
 )
 
-// tally is what callers saw of one kind of work.
+// tally counts the outcomes that callers observed for one kind of work.
 type tally struct {
 	sent, served, notRun, mayHaveRun, ran, unknown, skipped uint64
 	tries                                                   uint64
@@ -26,33 +26,35 @@
 	latency                                                 *hdrhistogram.Histogram
 	// lateRefusals counts work refused as overloaded after its target.
 	lateRefusals uint64
-	// bad counts answers that were not whole or not the caller's own.
-	bad uint64
-	// perSecond holds the served work and the refusals by second of sending.
+	// corrupt counts answers that were truncated or belonged to another request.
+	corrupt uint64
+	// perSecond holds the outcomes by the second in which the work was sent.
 	perSecond []second
 }
 
-// second is what callers saw of one second.
+// second counts the outcomes of the work sent in one second.
 type second struct {
 	served, refused uint64
 	latency         *hdrhistogram.Histogram
 }
 
-// token is work that a backend server must have run at most so many times.
+// token identifies a request whose runs at backend servers are checked at the end.
 type token struct {
 	text string
-	// never tells that an instance said it was not run.
-	never bool
+	// notRun reports whether an instance refused the request as not run.
+	notRun bool
 }
 
-// record is what callers saw.
+// record collects the outcomes that callers observed. It is safe for use by many
+// goroutines.
 type record struct {
 	mu      sync.Mutex
 	tallies []tally
 	keyed   []token
 	notRun  []token
 	targets []time.Duration
-	// poisonSent and poisonRefused count marked requests.
+	// poisonSent and poisonRefused count the poison requests sent and those
+	// refused with the reason poisoned.
 	poisonSent, poisonRefused uint64
 }
 
@@ -77,13 +79,14 @@
 	return hdrhistogram.New(histogramLow, histogramHigh, histogramDigits)
 }
 
+// skip counts work that was not sent because too much was in flight.
 func (r *record) skip(index int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.tallies[index].skipped++
 }
 
-// totals returns the work served and refused so far.
+// totals returns the number of requests served and refused so far.
 func (r *record) totals() (uint64, uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -95,7 +98,8 @@
 	return served, refused
 }
 
-// add records what became of one piece of work.
+// add records the outcome of one request. The time at is relative to the start of
+// the scenario.
 func (r *record) add(index int, at time.Duration, text string, w Work, result caller.Result, err error, poisoned bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -144,19 +148,20 @@
 	switch result.Outcome {
 	case "not-run":
 		t.notRun++
-		r.notRun = append(r.notRun, token{text: text, never: true})
+		r.notRun = append(r.notRun, token{text: text, notRun: true})
 	case "may-have-run":
 		t.mayHaveRun++
 	default:
 		t.ran++
 	}
-	if result.Reason == "overloaded" && result.Tries == 1 && result.Latency > target+lateSlack {
+	if result.Reason == "overloaded" && result.Tries == 1 && result.Latency > target+lateRefusalTolerance {
 		t.lateRefusals++
 	}
 }
 
-// lateSlack allows for the time that a refusal takes to its caller.
-const lateSlack = 30 * time.Millisecond
+// lateRefusalTolerance is added to the class's target before a refusal counts as
+// late, to allow for the time that the refusal takes to reach the caller.
+const lateRefusalTolerance = 30 * time.Millisecond
 
 func (t *tally) addServed(s *second, text string, w Work, result caller.Result) {
 	if result.Status >= 500 {
@@ -167,10 +172,10 @@
 	t.served++
 	s.served++
 	if string(result.Body) != imitator.Body(text, w.Size) || !strings.HasPrefix(string(result.Body), text+":") {
-		t.bad++
+		t.corrupt++
 	}
 	micros := result.Latency.Microseconds()
-	// Values out of range are cut to it.
+	// Values outside the histogram's range are clamped.
 	_ = t.latency.RecordValue(min(histogramHigh, max(histogramLow, micros)))
 	_ = s.latency.RecordValue(min(histogramHigh, max(histogramLow, micros)))
 }
--- a/loader/result.go
+++ b/loader/result.go
@@ -16,7 +16,10 @@
 	"monsoonswitch/storer"
 )
 
-// WorkResult is what callers saw of one kind of work.
+// WorkResult holds the outcomes that callers observed for one kind of work.
+// Skipped counts requests not sent because too many were in flight, Late refusals
+// as overloaded after the class's target, and Unknown requests without an answer
+// or with a status of 5xx.
 type WorkResult struct {
 	Name       string            `json:"name"`
 	Sent       uint64            `json:"sent"`
@@ -33,15 +36,15 @@
 	Seconds    []SecondResult    `json:"seconds"`
 }
 
-// SecondResult is what callers saw of one second.
+// SecondResult holds the outcomes of the work sent in one second.
 type SecondResult struct {
 	Served  uint64        `json:"served"`
 	Refused uint64        `json:"refused"`
 	P99     time.Duration `json:"p99"`
 }
 
-// Detection is how long a gray backend server went unnoticed; negative times
-// mean that it never was noticed.
+// Detection holds the times from the start of a fault until all instances avoided
+// the gray backend server and until it was ejected; a negative time means never.
 type Detection struct {
 	Backend string        `json:"backend"`
 	Avoided time.Duration `json:"avoided"`
@@ -57,19 +60,20 @@
 	Ejections  []Ejection   `json:"ejections"`
 	// FalseEjections counts ejections of backend servers without a fault.
 	FalseEjections int `json:"falseejections"`
-	// Violations lists broken promises.
+	// Violations describes the broken guarantees.
 	Violations []string `json:"violations"`
-	// Poison holds the marked requests sent, refused as such, and the crashes.
+	// PoisonSent and PoisonRefused count the poison requests sent and those
+	// refused with the reason poisoned; Crashes counts backend server crashes.
 	PoisonSent    uint64 `json:"poisonsent"`
 	PoisonRefused uint64 `json:"poisonrefused"`
 	Crashes       uint64 `json:"crashes"`
-	// Received is what the fleet's own tallies say, and Tries what the callers
-	// counted.
+	// Received is the number of requests in the fleet's own tallies; Tries is the
+	// number that the callers sent, including repeats.
 	Received uint64 `json:"received"`
 	Tries    uint64 `json:"tries"`
 }
 
-// Held tells whether every promise held.
+// Held reports whether every guarantee held.
 func (r Result) Held() bool { return len(r.Violations) == 0 }
 
 func (r *Runner) result() Result {
@@ -82,7 +86,7 @@
 	}
 	result.PoisonSent = r.record.poisonSent
 	result.PoisonRefused = r.record.poisonRefused
-	r.addWatch(&result)
+	r.addObservations(&result)
 	r.verify(&result)
 	return result
 }
@@ -112,35 +116,37 @@
 	return w
 }
 
-func (r *Runner) addWatch(result *Result) {
-	r.watch.mu.Lock()
-	defer r.watch.mu.Unlock()
-	result.Ejections = r.watch.ejections
-	for _, e := range r.watch.ejections {
+// addObservations copies the monitor's findings into the result.
+func (r *Runner) addObservations(result *Result) {
+	r.monitor.mu.Lock()
+	defer r.monitor.mu.Unlock()
+	result.Ejections = r.monitor.ejections
+	for _, e := range r.monitor.ejections {
 		if !e.Gray {
 			result.FalseEjections++
 		}
 	}
-	for _, g := range r.watch.grays {
+	for _, g := range r.monitor.grays {
 		result.Detections = append(result.Detections, Detection{
 			Backend: g.backend.ID(),
-			Avoided: since(g.since, g.avoided),
-			Ejected: since(g.since, g.ejected),
+			Avoided: elapsed(g.since, g.avoided),
+			Ejected: elapsed(g.since, g.ejected),
 		})
 	}
-	if r.watch.breaches > 0 {
-		result.violate("floor: ejections went below the floor at %d looks", r.watch.breaches)
+	if r.monitor.breaches > 0 {
+		result.violate("floor: ejections went below the floor at %d checks", r.monitor.breaches)
 	}
-	for _, d := range r.watch.drains {
+	for _, d := range r.monitor.drains {
 		counts := d.backend.Counts()
 		if d.after != nil && counts.Begun+counts.Shed > d.after.Begun+d.after.Shed {
-			result.violate("drain: %s got %d requests after %v", d.backend.ID(),
-				counts.Begun+counts.Shed-d.after.Begun-d.after.Shed, drainTime)
+			result.violate("drain: %s received %d requests after %v", d.backend.ID(),
+				counts.Begun+counts.Shed-d.after.Begun-d.after.Shed, drainLimit)
 		}
 	}
 }
 
-func since(from, to time.Time) time.Duration {
+// elapsed returns the time between from and to, or -1 if to is zero.
+func elapsed(from, to time.Time) time.Duration {
 	if to.IsZero() {
 		return -1
 	}
@@ -151,7 +157,8 @@
 	r.Violations = append(r.Violations, fmt.Sprintf(format, args...))
 }
 
-// verify checks what callers were told against what backend servers counted.
+// verify compares the outcomes reported to callers with the runs counted by backend
+// servers and adds a violation for each broken guarantee.
 func (r *Runner) verify(result *Result) {
 	runs := make(map[string]int)
 	for _, b := range r.fleet.Backends() {
@@ -161,7 +168,7 @@
 			runs[k] += n
 		}
 	}
-	duplicates, lies := 0, 0
+	duplicates, falseRefusals := 0, 0
 	for _, t := range r.record.keyed {
 		if runs[t.text] > 1 {
 			duplicates++
@@ -169,30 +176,33 @@
 	}
 	for _, t := range r.record.notRun {
 		if runs[t.text] > 0 {
-			lies++
+			falseRefusals++
 		}
 	}
 	if duplicates > 0 {
 		result.violate("at most once: %d keyed requests ran twice", duplicates)
 	}
-	if lies > 0 {
-		result.violate("true refusals: %d requests ran that were refused as not run", lies)
+	if falseRefusals > 0 {
+		result.violate("true refusals: %d requests ran although they were refused as not run", falseRefusals)
 	}
 	for i, w := range r.scenario.Work {
-		if bad := r.record.tallies[i].bad; bad > 0 {
-			result.violate("whole answers: %d answers to %s were not whole or not the caller's", bad, w.Name)
+		if corrupt := r.record.tallies[i].corrupt; corrupt > 0 {
+			result.violate("whole answers: %d answers to %s were truncated or belonged to another request", corrupt, w.Name)
 		}
 	}
 	if result.PoisonSent > 0 && result.Crashes > maxCrashes {
-		result.violate("poison: one request brought backend servers down %d times", result.Crashes)
+		result.violate("poison: poison requests crashed backend servers %d times", result.Crashes)
 	}
 	r.verifyTallies(result)
 }
 
-// maxCrashes is how often one request may bring a backend server down.
+// maxCrashes is the number of backend server crashes that one poison request may
+// cause before the fleet has to refuse it.
 const maxCrashes = 2
 
-// verifyTallies compares the fleet's own counts with those of the callers.
+// verifyTallies compares the fleet's own tallies with the callers' counts. It does
+// so only if every request got an answer and none was poison, since otherwise the
+// two legitimately differ.
 func (r *Runner) verifyTallies(result *Result) {
 	var served uint64
 	for _, s := range r.deployment.services {
@@ -203,17 +213,18 @@
 		result.Received += report.Received
 		served += report.Served
 	}
-	var seen, sent uint64
+	var answered, unanswered uint64
 	for _, w := range result.Work {
-		seen += w.Served + w.Reasons["status-5xx"]
-		sent += w.Unknown
+		answered += w.Served + w.Reasons["status-5xx"]
+		unanswered += w.Unknown
 	}
-	if sent == 0 && result.PoisonSent == 0 && (result.Received != result.Tries || served != seen) {
+	if unanswered == 0 && result.PoisonSent == 0 && (result.Received != result.Tries || served != answered) {
 		result.violate("report: the fleet counted %d received and %d served, its callers %d and %d",
-			result.Received, served, result.Tries, seen)
+			result.Received, served, result.Tries, answered)
 	}
 }
 
+// reportOf builds the report of a service from the tallies in the store.
 func (r *Runner) reportOf(service string) (reporter.Report, bool) {
 	item, ok := r.fleet.Peek(storer.TallyKey(service))
 	if !ok {
@@ -227,16 +238,16 @@
 	return reporter.Build(declared, 0, tallies, time.Now()), true
 }
 
-// Text writes the result as tables.
+// Text writes the result as plain text tables.
 func (r Result) Text(out io.Writer) error {
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(w, "WORK\tSENT\tSERVED\tNOT RUN\tMAY HAVE RUN\tRAN\tNO ANSWER\tP50\tP99\tREASONS")
 	for _, v := range r.Work {
 		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%v\t%v\t%s\n", v.Name, v.Sent, v.Served, v.NotRun, v.MayHaveRun, v.Ran,
-			v.Unknown, v.P50.Round(100*time.Microsecond), v.P99.Round(100*time.Microsecond), reasonText(v.Reasons))
+			v.Unknown, v.P50.Round(100*time.Microsecond), v.P99.Round(100*time.Microsecond), reasonsText(v.Reasons))
 	}
 	for _, d := range r.Detections {
-		fmt.Fprintf(w, "\ngray %s\tavoided after %s\tejected after %s\n", d.Backend, spanText(d.Avoided), spanText(d.Ejected))
+		fmt.Fprintf(w, "\ngray %s\tavoided after %s\tejected after %s\n", d.Backend, durationText(d.Avoided), durationText(d.Ejected))
 	}
 	fmt.Fprintf(w, "\nfalse ejections\t%d\n", r.FalseEjections)
 	if r.PoisonSent > 0 {
@@ -251,7 +262,7 @@
 	return eris.Wrap(w.Flush(), "write result")
 }
 
-func reasonText(reasons map[string]uint64) string {
+func reasonsText(reasons map[string]uint64) string {
 	names := make([]string, 0, len(reasons))
 	for n := range reasons {
 		names = append(names, n)
@@ -266,7 +277,8 @@
 	return strings.Join(names, ", ")
 }
 
-func spanText(d time.Duration) string {
+// durationText formats a duration to the millisecond; negative means never.
+func durationText(d time.Duration) string {
 	if d < 0 {
 		return "never"
 	}
--- a/loader/run.go
+++ b/loader/run.go
@@ -13,12 +13,12 @@
 )
 
 const (
-	// keepTime is how long the callers keep address answers.
-	keepTime = 2 * time.Second
-	// maxOpen bounds the work of one kind under way.
-	maxOpen = 4000
-	// settleTime bounds the wait for work under way at the end.
-	settleTime = 40 * time.Second
+	// addressKeepTime is how long callers cache address answers.
+	addressKeepTime = 2 * time.Second
+	// maxInFlight bounds the requests in flight of one kind of work.
+	maxInFlight = 4000
+	// finishTimeout bounds the wait for requests in flight at the end.
+	finishTimeout = 40 * time.Second
 )
 
 // Runner runs one scenario.
@@ -31,29 +31,31 @@
 	started  time.Time
 	progress io.Writer
 	record   *record
-	watch    *watch
+	monitor  *monitor
 }
 
-// Run runs a scenario with a fleet in this process and reports progress.
+// Run runs a scenario with a fleet in this process and writes its progress. It
+// returns an error if the fleet does not start.
 func Run(ctx context.Context, s Scenario, progress io.Writer) (Result, error) {
 	d, err := deploymentOf(s.Deployment)
 	if err != nil {
 		return Result{}, err
 	}
-	f, err := newLocal(s, d)
+	f, err := newLocalFleet(s, d)
 	if err != nil {
 		return Result{}, err
 	}
 	return runWith(ctx, s, d, f, progress)
 }
 
-// RunRemote runs a scenario with a fleet of other processes.
+// RunRemote runs a scenario with a fleet of other processes and writes its
+// progress. It returns an error if the platform lists no backend servers.
 func RunRemote(ctx context.Context, s Scenario, a Remote, progress io.Writer) (Result, error) {
 	d, err := deploymentOf(s.Deployment)
 	if err != nil {
 		return Result{}, err
 	}
-	f, err := newRemote(a)
+	f, err := newRemoteFleet(a)
 	if err != nil {
 		return Result{}, err
 	}
@@ -77,33 +79,33 @@
 
 func (r *Runner) run(ctx context.Context) (Result, error) {
 	r.started = time.Now()
-	r.watch = newWatch(r.fleet, r.deployment, r.started)
+	r.monitor = newMonitor(r.fleet, r.deployment, r.started)
 	ctx, cancel := context.WithTimeout(ctx, r.scenario.Duration)
 	defer cancel()
-	var drivers, open sync.WaitGroup
+	var generators, inFlight sync.WaitGroup
 	for i := range r.scenario.Work {
-		drivers.Add(1)
+		generators.Add(1)
 		go func() {
-			defer drivers.Done()
-			r.drive(ctx, i, &open)
+			defer generators.Done()
+			r.generate(ctx, i, &inFlight)
 		}()
 	}
 	for _, f := range r.scenario.Faults {
-		drivers.Add(1)
+		generators.Add(1)
 		go func() {
-			defer drivers.Done()
+			defer generators.Done()
 			r.inject(ctx, f)
 		}()
 	}
 	r.report(ctx)
-	drivers.Wait()
-	waitAtMost(&open, settleTime)
-	r.watch.stop()
+	generators.Wait()
+	waitAtMost(&inFlight, finishTimeout)
+	r.monitor.stop()
 	r.fleet.Finish()
 	return r.result(), nil
 }
 
-// report prints a line of progress each second.
+// report writes a progress line every second.
 func (r *Runner) report(ctx context.Context) {
 	ticker := time.NewTicker(time.Second)
 	defer ticker.Stop()
@@ -112,13 +114,14 @@
 		case now := <-ticker.C:
 			served, refused := r.record.totals()
 			fmt.Fprintf(r.progress, "%3.0fs  served %d  refused %d  ejected %d\n",
-				now.Sub(r.started).Seconds(), served, refused, r.watch.ejected())
+				now.Sub(r.started).Seconds(), served, refused, r.monitor.ejected())
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
+// waitAtMost waits for the group, but no longer than limit.
 func waitAtMost(group *sync.WaitGroup, limit time.Duration) {
 	done := make(chan struct{})
 	go func() {
@@ -131,11 +134,12 @@
 	}
 }
 
-// drive sends one kind of work at random times, whatever becomes of it.
-func (r *Runner) drive(ctx context.Context, index int, open *sync.WaitGroup) {
+// generate sends one kind of work with exponentially distributed gaps. The gaps do
+// not depend on the outcomes, so that a slow fleet does not reduce the load.
+func (r *Runner) generate(ctx context.Context, index int, inFlight *sync.WaitGroup) {
 	w := r.scenario.Work[index]
 	random := rand.New(rand.NewPCG(r.scenario.Seed, uint64(index)+1))
-	slots := make(chan struct{}, maxOpen)
+	slots := make(chan struct{}, maxInFlight)
 	next := time.Now()
 	for n := 0; ctx.Err() == nil; n++ {
 		next = next.Add(time.Duration(random.ExpFloat64() / r.rateAt(w, next) * float64(time.Second)))
@@ -149,15 +153,16 @@
 			r.record.skip(index)
 			continue
 		}
-		open.Add(1)
+		inFlight.Add(1)
 		go func() {
-			defer open.Done()
+			defer inFlight.Done()
 			defer func() { <-slots }()
 			r.send(index, n, name)
 		}()
 	}
 }
 
+// sleepUntil waits until t and reports whether ctx is still active.
 func sleepUntil(ctx context.Context, t time.Time) bool {
 	d := time.Until(t)
 	if d <= 0 {
@@ -173,16 +178,16 @@
 	}
 }
 
-// rateAt returns the rate of work at a time.
+// rateAt returns the rate of work at a time, in requests a second.
 func (r *Runner) rateAt(w Work, now time.Time) float64 {
 	at := now.Sub(r.started)
-	if at >= w.CrestFrom && at < w.CrestTo {
-		return w.Rate * w.Crest
+	if at >= w.PeakFrom && at < w.PeakTo {
+		return w.Rate * w.PeakFactor
 	}
 	return w.Rate
 }
 
-// send does one piece of work and records what became of it.
+// send sends one request and records its outcome.
 func (r *Runner) send(index, n int, name string) {
 	w := r.scenario.Work[index]
 	token := fmt.Sprintf("%s-%d-%d", w.Name, r.scenario.Seed, n)
@@ -211,36 +216,37 @@
 	r.record.add(index, at, token, w, result, err, poisoned)
 }
 
-// slowBody is a body of a given length that comes at a given rate.
+// slowBody is a request body of a given length that is sent at a given rate.
 type slowBody struct {
-	left  int
-	rate  int
-	start time.Time
-	sent  int
+	// remaining and sent are in bytes, rate in bytes a second; rate 0 means at once.
+	remaining int
+	rate      int
+	start     time.Time
+	sent      int
 }
 
 func newSlowBody(size, rate int) *slowBody {
-	return &slowBody{left: size, rate: rate, start: time.Now()}
+	return &slowBody{remaining: size, rate: rate, start: time.Now()}
 }
 
-// bodyPart is the number of bytes of a slow body sent at a time.
-const bodyPart = 8 << 10
+// maxBodyChunk is the largest number of bytes of a slow body sent at a time.
+const maxBodyChunk = 8 << 10
 
 // Read implements io.Reader.
 func (b *slowBody) Read(p []byte) (int, error) {
-	if b.left == 0 {
+	if b.remaining == 0 {
 		return 0, io.EOF
 	}
-	n := min(len(p), b.left)
+	n := min(len(p), b.remaining)
 	if b.rate > 0 {
-		n = min(n, bodyPart)
-		due := time.Duration(float64(b.sent+n) / float64(b.rate) * float64(time.Second))
-		time.Sleep(time.Until(b.start.Add(due)))
+		n = min(n, maxBodyChunk)
+		offset := time.Duration(float64(b.sent+n) / float64(b.rate) * float64(time.Second))
+		time.Sleep(time.Until(b.start.Add(offset)))
 	}
 	for i := range n {
 		p[i] = 'x'
 	}
-	b.left -= n
+	b.remaining -= n
 	b.sent += n
 	return n, nil
 }
--- a/loader/scenario.go
+++ b/loader/scenario.go
@@ -1,5 +1,6 @@
-// Package loader runs experiments: callers, faults by timetable and a fleet, with
-// the promises checked against what callers and backend servers counted.
+// Package loader runs load experiments: callers send work to a fleet while faults
+// are injected on a schedule. It then checks the fleet's guarantees against the
+// counts of callers and backend servers.
 package loader
 
 import (
@@ -21,7 +22,7 @@
 //go:embed deployments scenarios
 var embedded embed.FS
 
-// ErrScenario reports a scenario that can't be run.
+// ErrScenario reports a scenario that is malformed or out of range.
 var ErrScenario = eris.New("invalid scenario")
 
 // Scenario describes one experiment.
@@ -46,63 +47,69 @@
 	Path    string
 	// Rate is the mean number of requests a second.
 	Rate float64
-	// Crest multiplies the rate between CrestFrom and CrestTo.
-	Crest              float64
-	CrestFrom, CrestTo time.Duration
+	// PeakFactor multiplies the rate between PeakFrom and PeakTo.
+	PeakFactor       float64
+	PeakFrom, PeakTo time.Duration
 	// Callers is the number of distinct callers.
 	Callers int
-	// Size is the length of answers in bytes.
+	// Size is the length of response bodies in bytes.
 	Size int
-	// Weight is the service time in multiples of the median.
+	// Weight is the service time as a multiple of the median service time.
 	Weight float64
 	// Body is the length of request bodies in bytes, sent at BodyRate bytes a
 	// second; 0 means at once.
 	Body     int
 	BodyRate int
-	Keyed    bool
-	// Idempotent tells that broken work is sent again without a key.
+	// Keyed reports whether requests carry an idempotency key.
+	Keyed bool
+	// Idempotent reports whether a request is repeated without a key if its
+	// connection breaks.
 	Idempotent bool
 	Timeout    time.Duration
-	// Poison marks this many requests, which bring backend servers down.
+	// Poison is the number of requests, from the first one on, that crash the
+	// backend server that runs them.
 	Poison int
 }
 
 // FaultKind is a kind of fault.
 type FaultKind string
 
-// Kinds of faults.
+// Kinds of faults. Those of the imitator package are described there.
 const (
-	FaultStall   FaultKind = "stall"
-	FaultErrors  FaultKind = "errors"
-	FaultCut     FaultKind = "cut"
-	FaultLate    FaultKind = "late"
-	FaultFlap    FaultKind = "flap"
-	FaultDrain   FaultKind = "drain"
-	FaultOutage  FaultKind = "outage"
-	FaultSlow    FaultKind = "slow"
-	FaultLost    FaultKind = "lost"
+	FaultStall  FaultKind = "stall"
+	FaultErrors FaultKind = "errors"
+	FaultCut    FaultKind = "cut"
+	FaultLate   FaultKind = "late"
+	FaultFlap   FaultKind = "flap"
+	FaultDrain  FaultKind = "drain"
+	FaultOutage FaultKind = "outage"
+	FaultSlow   FaultKind = "slow"
+	FaultLost   FaultKind = "lost"
+	// FaultReplace replaces all instances, one after the other.
 	FaultReplace FaultKind = "replace"
-	// FaultOneWay cuts the links that one instance accepted, inward.
+	// FaultOneWay blocks the inbound direction of the links that one instance
+	// accepted.
 	FaultOneWay FaultKind = "oneway"
 )
 
-// Fault is one fault of the timetable.
+// Fault is one scheduled fault.
 type Fault struct {
 	Name string
 	Kind FaultKind
 	From time.Duration
 	To   time.Duration
-	// Service and Index choose a backend server; for links Index chooses an
+	// Service and Index select a backend server; for links Index selects an
 	// instance.
 	Service string
 	Index   int
-	// Share is the part of work concerned, and Time a length of time, where
-	// the kind has one.
+	// Share is the affected share of work from 0 to 1, and Time the delay or
+	// period, for the kinds that use them.
 	Share float64
 	Time  time.Duration
 }
 
-// Load reads a scenario from a file, or the embedded one with that name.
+// Load reads a scenario from a file, or the embedded scenario of that name. It
+// returns an error that wraps ErrScenario if there is neither or it is invalid.
 func Load(name string) (Scenario, error) {
 	data, err := os.ReadFile(name)
 	if err != nil {
@@ -125,7 +132,7 @@
 	return names
 }
 
-// Parse reads a scenario; file names the source in errors.
+// Parse parses a scenario from INI text. The errors wrap ErrScenario and mention file.
 func Parse(file string, data []byte) (Scenario, error) {
 	f, err := parser.Load(file, data, ErrScenario)
 	if err != nil {
@@ -170,9 +177,9 @@
 		Method:     k.Text("method", http.MethodGet),
 		Path:       k.Text("path", "/"),
 		Rate:       k.Number("rate", 10),
-		Crest:      k.Number("crest", 1),
-		CrestFrom:  k.Duration("crestfrom", 0),
-		CrestTo:    k.Duration("crestto", 0),
+		PeakFactor: k.Number("crest", 1),
+		PeakFrom:   k.Duration("crestfrom", 0),
+		PeakTo:     k.Duration("crestto", 0),
 		Callers:    int(k.Number("callers", 20)),
 		Size:       int(k.Number("size", 256)),
 		Weight:     k.Number("weight", 1),
@@ -198,15 +205,16 @@
 	}
 }
 
-// maxDuration bounds an experiment.
+// maxDuration bounds the duration of a scenario.
 const maxDuration = 5 * time.Minute
 
+// check returns an error if a value is out of range or names an unknown service.
 func (s *Scenario) check(file string) error {
 	if s.Duration <= 0 || s.Duration > maxDuration {
 		return eris.Wrapf(ErrScenario, "%s: duration %v is not in (0, %v]", file, s.Duration, maxDuration)
 	}
 	if s.Instances < 1 || s.Instances > 48 {
-		return eris.Wrapf(ErrScenario, "%s: %d instances are not from 1 to 48", file, s.Instances)
+		return eris.Wrapf(ErrScenario, "%s: %d instances, want 1 to 48", file, s.Instances)
 	}
 	d, err := deploymentOf(s.Deployment)
 	if err != nil {
@@ -232,9 +240,9 @@
 	}
 	class, ok := service.Match(w.Method, w.Path)
 	if !ok || class.Name != w.Class {
-		return eris.Wrapf(ErrScenario, "%s: work %s: %s %s is class %q", file, w.Name, w.Method, w.Path, class.Name)
+		return eris.Wrapf(ErrScenario, "%s: work %s: %s %s belongs to class %q", file, w.Name, w.Method, w.Path, class.Name)
 	}
-	if w.Rate <= 0 || w.Rate*max(1, w.Crest) > 20000 {
+	if w.Rate <= 0 || w.Rate*max(1, w.PeakFactor) > 20000 {
 		return eris.Wrapf(ErrScenario, "%s: work %s: rate out of range", file, w.Name)
 	}
 	return nil
