--- a/commander/trial.go
+++ b/commander/trial.go
@@ -126,8 +126,8 @@
 			avoided := make([]time.Duration, len(results))
 			detected := make([]time.Duration, len(results))
 			for i, r := range results {
-				avoided[i] = r.Avoided
-				detected[i] = r.Detected
+				avoided[i] = r.AvoidedAfter
+				detected[i] = r.EjectedAfter
 			}
 			t := totalOf(results)
 			a50, a99, aNever := experimenter.Spans(avoided)
@@ -152,8 +152,8 @@
 			t.sent += class.Sent
 		}
 		t.ejections += r.Ejections
-		t.falses += r.False
-		t.breaches += r.Breaches
+		t.falses += r.FalseEjections
+		t.breaches += r.FloorBreaches
 	}
 	return t
 }
@@ -168,7 +168,7 @@
 		sent += c.Sent
 		served += c.Served
 		failed += c.Failed + c.Refused
-		tails = append(tails, c.Quantile(99))
+		tails = append(tails, c.Percentile(99))
 	}
 	p99, _, _ := experimenter.Spans(tails)
 	return 100 * float64(served) / float64(max(1, sent)), failed, p99
--- a/commander/trial_load.go
+++ b/commander/trial_load.go
@@ -28,7 +28,7 @@
 	fmt.Fprintln(w, "SERVICE\tPOLICY\tGOODPUT AT CREST\tIN TARGET\tSECOND AFTER\tP99\tREFUSED LATE\tREFUSED\tGREEDY SHARE\tOVERSUBSCRIBED")
 	for _, site := range sites() {
 		for _, set := range sets {
-			x := site.WithCrest(crestFrom, crestTo, crestEnd)
+			x := site.WithPeak(crestFrom, crestTo, crestEnd)
 			results := experimenter.RunSeeds(set, x, c.seeds, c.workers)
 			var at, after, inTarget float64
 			var late, refused, over, attempts, greedy, all uint64
@@ -44,7 +44,7 @@
 				attempts += r.Attempts
 				greedy += v.Greedy
 				all += v.Greedy + v.Other
-				tails = append(tails, v.Quantile(99))
+				tails = append(tails, v.Percentile(99))
 			}
 			n := float64(len(results))
 			p99, _, _ := experimenter.Spans(tails)
--- a/experimenter/experiment.go
+++ b/experimenter/experiment.go
@@ -1,6 +1,6 @@
-// Package experimenter measures the decisions about one service in fake time:
-// the balancers of its serving instances against small fakes of its backend
-// servers, with the same arrivals for every set of policies.
+// Package experimenter simulates the balancing of one service in simulated time. It
+// runs the balancers of the serving instances against simple models of the backend
+// servers, with the same arrival process for every set of policies.
 package experimenter
 
 import (
@@ -11,44 +11,46 @@
 	"monsoonswitch/declarer"
 )
 
-// Load is the arrival of work of one class.
+// Load describes the arrival process of the requests of one class.
 type Load struct {
 	Class string
 	// Rate is the mean number of requests a second.
 	Rate float64
-	// Weight is the service time in multiples of the median.
+	// Weight is the service time as a multiple of the median service time.
 	Weight float64
 	// Callers is the number of distinct callers.
 	Callers int
-	// Patience is how long callers wait; 0 means without end.
-	Patience time.Duration
-	// Crest multiplies the rate from CrestFrom to CrestTo, again after each
-	// CrestEvery if that is not 0.
-	Crest              float64
-	CrestFrom, CrestTo time.Duration
-	CrestEvery         time.Duration
-	// Greedy is the share of the crest's extra work that comes from one caller.
-	Greedy float64
+	// Timeout is how long callers wait for an answer; 0 means without limit.
+	Timeout time.Duration
+	// PeakFactor multiplies the rate from PeakFrom to PeakTo, and periodically
+	// after each PeakEvery if that is not 0.
+	PeakFactor       float64
+	PeakFrom, PeakTo time.Duration
+	PeakEvery        time.Duration
+	// GreedyShare is the share of the requests during a peak that one greedy
+	// caller sends.
+	GreedyShare float64
 }
 
-// Fault is what is wrong with one backend server.
+// Fault describes a fault of one backend server from From to To.
 type Fault struct {
 	Index    int
 	From, To time.Duration
-	// Stall holds all work.
+	// Stall stops requests from completing until the fault ends.
 	Stall bool
-	// Errors is the share of work that fails.
+	// Errors is the share of requests answered with status 500.
 	Errors float64
-	// Slow multiplies service times; 0 means not at all.
+	// Slow multiplies service times; 0 leaves them unchanged.
 	Slow float64
-	// Flap switches the fault on and off with this period.
+	// Flap switches the fault off and on after each interval of this length; 0
+	// keeps it on.
 	Flap time.Duration
-	// Path limits the fault to the work of one instance, counted from 1; 0
-	// means all.
-	Path int
+	// Instance limits the fault to the requests of one instance, counted from 1;
+	// 0 means all instances.
+	Instance int
 }
 
-// Experiment describes one run.
+// Experiment describes one simulation run.
 type Experiment struct {
 	Service   declarer.Service
 	Backends  int
@@ -57,43 +59,46 @@
 	Median    time.Duration
 	// Spread is the standard deviation of the logarithm of service times.
 	Spread float64
-	// Heavy is the share of work whose service time has a Pareto tail.
-	Heavy    float64
-	Loads    []Load
-	Faults   []Fault
-	Duration time.Duration
-	Seed     uint64
+	// HeavyShare is the share of requests whose service time has a Pareto tail.
+	HeavyShare float64
+	Loads      []Load
+	Faults     []Fault
+	Duration   time.Duration
+	Seed       uint64
 	// Restart is the mean time between restarts of each backend server, with
 	// a cold start; 0 means none.
 	Restart time.Duration
-	// Outage makes the store unavailable from that time on; 0 means never.
+	// Outage is the time from which on the store is unavailable; 0 means never.
 	Outage time.Duration
 }
 
-// ClassResult is what became of the work of one class.
+// ClassResult counts the outcomes of the requests of one class.
 type ClassResult struct {
 	Sent, Served, Refused, Failed, Abandoned uint64
-	// LateRefused counts work refused after it had waited for its target.
+	// LateRefused counts requests refused as not run after the class's target.
 	LateRefused uint64
 	Latency     *hdrhistogram.Histogram
-	// PerSecond holds the served work by second of its end.
+	// PerSecond counts the served requests by the second in which they ended.
 	PerSecond []uint64
-	// Greedy and Other split the served work of crests by caller.
+	// Greedy counts the served requests of the greedy caller, Other all others.
 	Greedy, Other uint64
 }
 
 // Result is the outcome of an experiment.
 type Result struct {
 	Classes map[string]*ClassResult
-	// Detected is the time from the fault to the ejection, and Avoided to the
-	// moment when all instances prefer others; negative means never.
-	Detected, Avoided time.Duration
-	// Ejections counts ejections, and False those of healthy backend servers.
-	Ejections, False int
-	// Breaches counts the ticks at which fewer backend servers than the floor
-	// were left.
-	Breaches int
-	// Oversubscribed counts the requests that found all slots taken.
+	// EjectedAfter is the time from the start of the fault to the ejection, and
+	// AvoidedAfter to the moment when all instances avoid the backend server;
+	// negative means never.
+	EjectedAfter, AvoidedAfter time.Duration
+	// Ejections counts ejections, and FalseEjections those of healthy backend
+	// servers.
+	Ejections, FalseEjections int
+	// FloorBreaches counts the checks that found fewer backend servers than the
+	// floor.
+	FloorBreaches int
+	// Oversubscribed counts the requests that arrived at a backend server whose
+	// slots were all in use, and Shed those that it refused.
 	Oversubscribed uint64
 	Shed           uint64
 	Attempts       uint64
@@ -101,7 +106,7 @@
 	Duplicates int
 }
 
-// Bounds of histograms in microseconds.
+// Bounds of histograms in microseconds, and their significant digits.
 const (
 	histogramLow    = 10
 	histogramHigh   = 600_000_000
@@ -115,7 +120,7 @@
 	}
 }
 
-// Quantile returns a latency quantile from 0 to 100.
-func (c *ClassResult) Quantile(q float64) time.Duration {
-	return time.Duration(c.Latency.ValueAtQuantile(q)) * time.Microsecond
+// Percentile returns a latency percentile; p is from 0 to 100.
+func (c *ClassResult) Percentile(p float64) time.Duration {
+	return time.Duration(c.Latency.ValueAtQuantile(p)) * time.Microsecond
 }
--- a/experimenter/fake.go
+++ b/experimenter/fake.go
@@ -6,16 +6,17 @@
 	"monsoonswitch/descriptor"
 )
 
-// backlog is the number of requests that wait at a fake backend server.
+// backlog is the number of requests that may wait at a simulated backend server
+// before it sheds.
 const backlog = 1
 
-// faultNow returns the fault in force for a flight.
-func (w *world[E, D, P, L]) faultNow(f *fake, instance int) (Fault, bool) {
-	for _, x := range w.experiment.Faults {
-		if w.fakes[x.Index] != f || w.at() < x.From || w.at() >= x.To || x.Path > 0 && x.Path != instance+1 {
+// activeFault returns the fault that applies now to requests of an instance at f.
+func (s *simulation[E, D, P, L]) activeFault(f *fakeBackend, instance int) (Fault, bool) {
+	for _, x := range s.experiment.Faults {
+		if s.backends[x.Index] != f || s.elapsed() < x.From || s.elapsed() >= x.To || x.Instance > 0 && x.Instance != instance+1 {
 			continue
 		}
-		if x.Flap > 0 && int((w.at()-x.From)/x.Flap)%2 == 1 {
+		if x.Flap > 0 && int((s.elapsed()-x.From)/x.Flap)%2 == 1 {
 			continue
 		}
 		return x, true
@@ -23,74 +24,76 @@
 	return Fault{}, false
 }
 
-// enter takes a request in at a fake backend server.
-func (w *world[E, D, P, L]) enter(f *fake, v *flight) {
-	if v.gone {
+// admit handles the arrival of an attempt at f: it starts it, queues it if all
+// slots are in use, or refuses it if f is down or its backlog is full.
+func (s *simulation[E, D, P, L]) admit(f *fakeBackend, v *attempt) {
+	if v.finished {
 		return
 	}
-	if w.now.Before(f.downTo) {
-		w.fail(f, v, descriptor.FaultConnect)
+	if s.now.Before(f.downUntil) {
+		s.fail(f, v, descriptor.FaultConnect)
 		return
 	}
 	if f.busy >= f.listed.Slots {
-		w.result.Oversubscribed++
+		s.result.Oversubscribed++
 		if len(f.waiting) >= backlog {
-			w.result.Shed++
-			w.fail(f, v, descriptor.FaultShed)
+			s.result.Shed++
+			s.fail(f, v, descriptor.FaultShed)
 			return
 		}
 		f.waiting = append(f.waiting, v)
 		return
 	}
-	w.begin(f, v)
+	s.begin(f, v)
 }
 
-func (w *world[E, D, P, L]) begin(f *fake, v *flight) {
+// begin starts an attempt in a slot of f and schedules its end.
+func (s *simulation[E, D, P, L]) begin(f *fakeBackend, v *attempt) {
 	f.busy++
 	v.started = true
-	w.requests[v.request-1].runs++
-	fault, faulty := w.faultNow(f, v.instance)
-	d := w.serviceTime(f, v.weight)
+	s.requests[v.request-1].runs++
+	fault, faulty := s.activeFault(f, v.instance)
+	d := s.serviceTime(f, v.weight)
 	if faulty && fault.Slow > 0 {
 		d = time.Duration(float64(d) * fault.Slow)
 	}
 	if faulty && fault.Stall {
-		f.held = append(f.held, v)
+		f.stalled = append(f.stalled, v)
 		return
 	}
-	w.after(d, func() { w.complete(f, v) })
+	s.after(d, func() { s.complete(f, v) })
 }
 
-// complete ends work and answers.
-func (w *world[E, D, P, L]) complete(f *fake, v *flight) {
-	if v.gone {
+// complete ends an attempt and answers it.
+func (s *simulation[E, D, P, L]) complete(f *fakeBackend, v *attempt) {
+	if v.finished {
 		return
 	}
-	fault, faulty := w.faultNow(f, v.instance)
+	fault, faulty := s.activeFault(f, v.instance)
 	status := 200
-	if faulty && fault.Errors > 0 && w.random.Float64() < fault.Errors {
+	if faulty && fault.Errors > 0 && s.random.Float64() < fault.Errors {
 		status = 500
 	}
-	w.leave(f, v)
+	s.finish(f, v)
 	health := descriptor.HealthReady
-	if w.now.Before(f.coldTo) {
+	if s.now.Before(f.coldUntil) {
 		health = descriptor.HealthCold
 	}
-	w.after(networkTime, func() {
-		w.balancers[v.instance].Answered(descriptor.Answered{
-			At:      w.now,
+	s.after(networkDelay, func() {
+		s.balancers[v.instance].Answered(descriptor.Answered{
+			At:      s.now,
 			Request: v.request,
 			Attempt: v.attempt,
 			Status:  status,
 			Health:  health,
 		})
-		w.collect(v.instance)
+		s.performActions(v.instance)
 	})
 }
 
-// leave frees the slot of a flight and begins the next one that waits.
-func (w *world[E, D, P, L]) leave(f *fake, v *flight) {
-	v.gone = true
+// finish releases the slot of an attempt and begins the next one in the backlog.
+func (s *simulation[E, D, P, L]) finish(f *fakeBackend, v *attempt) {
+	v.finished = true
 	delete(f.open, v)
 	if !v.started {
 		return
@@ -99,73 +102,77 @@
 	for len(f.waiting) > 0 && f.busy < f.listed.Slots {
 		next := f.waiting[0]
 		f.waiting = f.waiting[1:]
-		if !next.gone {
-			w.begin(f, next)
+		if !next.finished {
+			s.begin(f, next)
 		}
 	}
 }
 
-func (w *world[E, D, P, L]) fail(f *fake, v *flight, fault descriptor.Fault) {
-	w.leave(f, v)
-	w.after(networkTime, func() {
-		w.balancers[v.instance].Failed(descriptor.Failed{
-			At:        w.now,
+// fail ends an attempt with a fault before it was answered.
+func (s *simulation[E, D, P, L]) fail(f *fakeBackend, v *attempt, fault descriptor.Fault) {
+	s.finish(f, v)
+	s.after(networkDelay, func() {
+		s.balancers[v.instance].Failed(descriptor.Failed{
+			At:        s.now,
 			Request:   v.request,
 			Attempt:   v.attempt,
 			Fault:     fault,
 			Untouched: true,
 		})
-		w.collect(v.instance)
+		s.performActions(v.instance)
 	})
 }
 
-// cancel gives an attempt up.
-func (w *world[E, D, P, L]) cancel(i int, a descriptor.Cancel) {
-	for _, f := range w.fakes {
+// cancel ends an attempt that its instance cancelled.
+func (s *simulation[E, D, P, L]) cancel(i int, a descriptor.Cancel) {
+	for _, f := range s.backends {
 		for v := range f.open {
 			if v.instance == i && v.request == a.Request && v.attempt == a.Attempt {
-				w.leave(f, v)
+				s.finish(f, v)
 				return
 			}
 		}
 	}
 }
 
-// heal ends a fault: the work it held goes on.
-func (w *world[E, D, P, L]) heal(x Fault) {
-	f := w.fakes[x.Index]
-	held := f.held
-	f.held = nil
-	for _, v := range held {
-		if !v.gone {
-			w.after(w.experiment.Median, func() { w.complete(f, v) })
+// endFault ends a fault. Attempts that it stalled complete after the median service
+// time.
+func (s *simulation[E, D, P, L]) endFault(x Fault) {
+	f := s.backends[x.Index]
+	stalled := f.stalled
+	f.stalled = nil
+	for _, v := range stalled {
+		if !v.finished {
+			s.after(s.experiment.Median, func() { s.complete(f, v) })
 		}
 	}
 }
 
-// restartNext plans the next restart of a backend server.
-func (w *world[E, D, P, L]) restartNext(f *fake) {
-	wait := time.Duration(w.random.ExpFloat64() * float64(w.experiment.Restart))
-	w.after(wait, func() {
-		w.restart(f)
-		w.restartNext(f)
+// scheduleRestart schedules the next restart of a backend server.
+func (s *simulation[E, D, P, L]) scheduleRestart(f *fakeBackend) {
+	wait := time.Duration(s.random.ExpFloat64() * float64(s.experiment.Restart))
+	s.after(wait, func() {
+		s.restart(f)
+		s.scheduleRestart(f)
 	})
 }
 
-// restart breaks the open work of a backend server and leaves it cold.
-func (w *world[E, D, P, L]) restart(f *fake) {
-	f.downTo = w.now.Add(restartTime)
-	f.coldTo = f.downTo.Add(coldTime)
-	for _, v := range f.ordered() {
+// restart breaks the running attempts of a backend server, which is down for
+// restartTime and then cold for coldTime.
+func (s *simulation[E, D, P, L]) restart(f *fakeBackend) {
+	f.downUntil = s.now.Add(restartTime)
+	f.coldUntil = f.downUntil.Add(coldTime)
+	for _, v := range f.orderedAttempts() {
 		if v.started {
-			w.fail(f, v, descriptor.FaultBroken)
+			s.fail(f, v, descriptor.FaultBroken)
 		}
 	}
 }
 
-// ordered returns the open flights by request, so that runs repeat.
-func (f *fake) ordered() []*flight {
-	var result []*flight
+// orderedAttempts returns the open attempts in the order of their requests, so that
+// runs with the same seed are identical.
+func (f *fakeBackend) orderedAttempts() []*attempt {
+	var result []*attempt
 	for v := range f.open {
 		i := len(result)
 		result = append(result, v)
--- a/experimenter/placement.go
+++ b/experimenter/placement.go
@@ -12,14 +12,15 @@
 	"monsoonswitch/descriptor"
 )
 
-// Placement is a way to choose the serving instances of all services.
+// Placement is a strategy to choose the serving instances of all services.
 type Placement struct {
 	Name string
-	// Place returns the members that serve each service, places of them.
+	// Place returns the IDs of the members that serve each service; places is
+	// their number.
 	Place func(services []string, members []descriptor.Member, places int) [][]string
 }
 
-// Placements returns the ways that were weighed.
+// Placements returns the compared strategies.
 func Placements() []Placement {
 	return []Placement{
 		{"rendezvous, domains in turn", placeRendezvous},
@@ -28,21 +29,23 @@
 	}
 }
 
-// PlacementResult is what a way to place amounts to.
+// PlacementResult holds the measurements of one strategy.
 type PlacementResult struct {
-	// Imbalance is the largest load of a member over the mean.
+	// Imbalance is the largest number of services of a member divided by the
+	// mean.
 	Imbalance float64
-	// Moved is the number of places that changed when one member left, over
-	// the places that it had.
+	// Moved is the number of assignments that changed when one member left,
+	// divided by the assignments that it had; 1 is the minimum.
 	Moved float64
-	// Domains is the share of services with as many failure domains as can be.
+	// Domains is the share of services placed in the largest possible number of
+	// failure domains.
 	Domains float64
-	// Time is the time to place everything.
+	// Time is the time to place all services.
 	Time time.Duration
 }
 
-// MeasurePlacement measures a way to place at a size, as the mean over the
-// leaving of several members.
+// MeasurePlacement measures a strategy at a fleet size. Moved is the mean over the
+// removal of several members, one at a time.
 func MeasurePlacement(p Placement, services, members, domains, places int) PlacementResult {
 	names, list := placementInput(services, members, domains)
 	began := time.Now()
@@ -50,15 +53,15 @@
 	r := PlacementResult{Time: time.Since(began)}
 	r.Imbalance = imbalance(before, members)
 	r.Domains = spreadOverDomains(before, list, min(domains, places))
-	const leaving = 5
+	const removals = 5
 	moved, had := 0, 0
-	for k := range leaving {
-		i := k * members / leaving
+	for k := range removals {
+		i := k * members / removals
 		rest := append(append([]descriptor.Member(nil), list[:i]...), list[i+1:]...)
 		after := p.Place(names, rest, places)
 		for s := range names {
-			moved += len(missing(after[s], before[s]))
-			had += len(missing([]string{list[i].ID}, missing([]string{list[i].ID}, before[s])))
+			moved += len(difference(after[s], before[s]))
+			had += len(difference([]string{list[i].ID}, difference([]string{list[i].ID}, before[s])))
 		}
 	}
 	r.Moved = float64(moved) / math.Max(1, float64(had))
@@ -77,8 +80,8 @@
 	return names, list
 }
 
-// missing returns the entries of a that are not in b.
-func missing(a, b []string) []string {
+// difference returns the entries of a that are not in b.
+func difference(a, b []string) []string {
 	var result []string
 	for _, v := range a {
 		found := false
@@ -92,6 +95,7 @@
 	return result
 }
 
+// imbalance returns the largest number of services of a member divided by the mean.
 func imbalance(placed [][]string, members int) float64 {
 	load := make(map[string]int)
 	sum, largest := 0, 0
@@ -105,7 +109,9 @@
 	return float64(largest) * float64(members) / math.Max(1, float64(sum))
 }
 
-func spreadOverDomains(placed [][]string, members []descriptor.Member, most int) float64 {
+// spreadOverDomains returns the share of services placed in the given number of
+// failure domains.
+func spreadOverDomains(placed [][]string, members []descriptor.Member, domains int) float64 {
 	domainOf := make(map[string]string, len(members))
 	for _, m := range members {
 		domainOf[m.ID] = m.Domain
@@ -116,7 +122,7 @@
 		for _, id := range list {
 			seen[domainOf[id]] = true
 		}
-		if len(seen) == most {
+		if len(seen) == domains {
 			full++
 		}
 	}
@@ -138,24 +144,26 @@
 	return result
 }
 
-// Parameters of bounded-load consistent hashing.
+// Parameters of bounded-load consistent hashing. loadBound is the largest load of a
+// member as a multiple of the mean.
 const (
 	virtualNodes = 20
 	loadBound    = 1.25
 )
 
-type ringSpot struct {
+// ringPoint is a virtual node on the hash ring.
+type ringPoint struct {
 	hash uint64
 	id   string
 }
 
-// placeBounded walks a ring from each service's hash and skips members that are
-// full.
+// placeBounded walks the hash ring from each service's hash and skips members that
+// have reached the load bound.
 func placeBounded(services []string, members []descriptor.Member, places int) [][]string {
-	ring := make([]ringSpot, 0, len(members)*virtualNodes)
+	ring := make([]ringPoint, 0, len(members)*virtualNodes)
 	for _, m := range members {
 		for v := range virtualNodes {
-			ring = append(ring, ringSpot{xxhash.Sum64String(fmt.Sprintf("%s/%d", m.ID, v)), m.ID})
+			ring = append(ring, ringPoint{xxhash.Sum64String(fmt.Sprintf("%s/%d", m.ID, v)), m.ID})
 		}
 	}
 	sort.Slice(ring, func(i, j int) bool { return ring[i].hash < ring[j].hash })
@@ -167,7 +175,7 @@
 		at := sort.Search(len(ring), func(k int) bool { return ring[k].hash >= h })
 		for k := 0; k < len(ring) && len(result[i]) < places; k++ {
 			id := ring[(at+k)%len(ring)].id
-			if load[id] < bound && len(missing([]string{id}, result[i])) == 1 {
+			if load[id] < bound && len(difference([]string{id}, result[i])) == 1 {
 				result[i] = append(result[i], id)
 				load[id]++
 			}
@@ -176,9 +184,9 @@
 	return result
 }
 
-// placeGreedy gives each service in turn the least loaded members, each of
-// another failure domain where it can; a service that finds too few takes what
-// it was given back and starts again without the domains.
+// placeGreedy assigns the least loaded members to each service in turn, each in a
+// different failure domain. If there are too few failure domains, it chooses again
+// without regard to them.
 func placeGreedy(services []string, members []descriptor.Member, places int) [][]string {
 	load := make([]int, len(members))
 	next := 0
@@ -197,8 +205,9 @@
 	return result
 }
 
-// greedyPick returns the positions of the least loaded members from a start on.
-func greedyPick(members []descriptor.Member, load []int, places, start int, apart bool) []int {
+// greedyPick returns the indices of the least loaded members; ties go to the first
+// one from start on. distinctDomains limits it to one member for each failure domain.
+func greedyPick(members []descriptor.Member, load []int, places, start int, distinctDomains bool) []int {
 	var chosen []int
 	used := make(map[string]bool)
 	taken := make(map[int]bool)
@@ -206,7 +215,7 @@
 		best := -1
 		for k := range members {
 			i := (start + k) % len(members)
-			if taken[i] || apart && used[members[i].Domain] {
+			if taken[i] || distinctDomains && used[members[i].Domain] {
 				continue
 			}
 			if best < 0 || load[i] < load[best] {
--- a/experimenter/suite.go
+++ b/experimenter/suite.go
@@ -18,7 +18,7 @@
 	Run  func(Experiment) Result
 }
 
-// Sets returns the policies of production first, and the baselines after them.
+// Sets returns the production policies first, followed by the baselines.
 func Sets() []PolicySet {
 	return []PolicySet{
 		{"standard", Run[detector.Evidence, detector.Sequential, picker.Sampled, limiter.Adaptive]},
@@ -27,7 +27,7 @@
 	}
 }
 
-// Detectors returns the detectors that were weighed, all else equal.
+// Detectors returns policy sets that differ only in their detector.
 func Detectors() []PolicySet {
 	return []PolicySet{
 		{"sequential test", Run[detector.Evidence, detector.Sequential, picker.Sampled, limiter.Adaptive]},
@@ -36,7 +36,7 @@
 	}
 }
 
-// Orders returns the orders of queued work that were weighed, all else equal.
+// Orders returns policy sets that differ only in the order of queued requests.
 func Orders() []PolicySet {
 	return []PolicySet{
 		{"newest first under overload", Run[detector.Evidence, detector.Sequential, picker.Sampled, limiter.Adaptive]},
@@ -45,7 +45,7 @@
 	}
 }
 
-// RunSeeds runs an experiment with seeds 1 to n, a few at a time.
+// RunSeeds runs an experiment with seeds 1 to n on the given number of workers.
 func RunSeeds(set PolicySet, x Experiment, n, workers int) []Result {
 	results := make([]Result, n)
 	var group sync.WaitGroup
@@ -65,8 +65,8 @@
 	return results
 }
 
-// Spans returns the median and the largest of the times, and how many are
-// negative, which stands for never.
+// Spans returns the median and the largest of the non-negative durations, and the
+// number of negative ones, which mean never.
 func Spans(list []time.Duration) (median, largest time.Duration, never int) {
 	var known []time.Duration
 	for _, d := range list {
@@ -83,14 +83,15 @@
 	return known[(len(known)-1)/2], known[len(known)-1], never
 }
 
-// Properties of the fake backend servers of all experiments.
+// Properties of the simulated backend servers of all experiments; see Experiment.
 const (
-	median = 20 * time.Millisecond
-	spread = 0.5
-	heavy  = 0.01
+	medianServiceTime = 20 * time.Millisecond
+	serviceTimeSpread = 0.5
+	heavyShare        = 0.01
 )
 
-// Fieldbook returns the service of field uploads and visits as it is.
+// Fieldbook returns an experiment with the service of field uploads and visits, at
+// its production size and without load.
 func Fieldbook() Experiment {
 	return Experiment{
 		Service: declarer.Service{
@@ -107,16 +108,17 @@
 				{Name: "photos", Methods: []string{http.MethodPut}, Path: "/photos/", Class: "upload"},
 			},
 		},
-		Backends:  6,
-		Slots:     3,
-		Instances: 3,
-		Median:    median,
-		Spread:    spread,
-		Heavy:     heavy,
+		Backends:   6,
+		Slots:      3,
+		Instances:  3,
+		Median:     medianServiceTime,
+		Spread:     serviceTimeSpread,
+		HeavyShare: heavyShare,
 	}
 }
 
-// Kliniki returns the service of clinic plans as it is.
+// Kliniki returns an experiment with the service of clinic plans, at its production
+// size and without load.
 func Kliniki() Experiment {
 	x := Fieldbook()
 	x.Service.Name = "kliniki"
@@ -127,20 +129,21 @@
 	return x
 }
 
-// meanFactor is the mean service time in multiples of the median, for the spread
-// and the heavy tail of the fakes.
+// meanFactor is the mean service time as a multiple of the median, given
+// serviceTimeSpread and heavyShare.
 const meanFactor = 1.16
 
-// Capacity returns the requests a second of weight 1 that all slots can serve.
+// Capacity returns the rate, in requests of weight 1 a second, that all slots
+// together can serve.
 func (x Experiment) Capacity() float64 {
 	return float64(x.Backends*x.Slots) / (meanFactor * x.Median.Seconds())
 }
 
-// WithStall returns x with a backend server that stalls all work, at a share of
-// the capacity.
+// WithStall returns x with a backend server that stalls all requests from at until
+// until, with load as a share of the capacity.
 func (x Experiment) WithStall(load float64, at, until time.Duration) Experiment {
 	x.Loads = []Load{
-		{Class: "visit", Rate: 0.9 * load * x.Capacity(), Callers: 50, Patience: 5 * time.Second},
+		{Class: "visit", Rate: 0.9 * load * x.Capacity(), Callers: 50, Timeout: 5 * time.Second},
 		{Class: "booking", Rate: 0.1 * load * x.Capacity(), Callers: 20},
 	}
 	x.Faults = []Fault{{Index: 2, From: at, To: until, Stall: true}}
@@ -148,12 +151,13 @@
 	return x
 }
 
-// WithHealthyDay returns x with ordinary work, crests and restarts, and no fault.
+// WithHealthyDay returns x with ordinary load, hourly peaks and restarts, but no
+// fault.
 func (x Experiment) WithHealthyDay(load float64, length time.Duration) Experiment {
 	rate := load * x.Capacity()
-	crest := Load{Crest: 12, CrestFrom: 20 * time.Minute, CrestTo: 20*time.Minute + 20*time.Second, CrestEvery: time.Hour}
-	visit, booking := crest, crest
-	visit.Class, visit.Rate, visit.Callers, visit.Patience = "visit", 0.85*rate, 200, 5*time.Second
+	peak := Load{PeakFactor: 12, PeakFrom: 20 * time.Minute, PeakTo: 20*time.Minute + 20*time.Second, PeakEvery: time.Hour}
+	visit, booking := peak, peak
+	visit.Class, visit.Rate, visit.Callers, visit.Timeout = "visit", 0.85*rate, 200, 5*time.Second
 	booking.Class, booking.Rate, booking.Callers = "booking", 0.1*rate, 50
 	x.Loads = []Load{
 		visit,
@@ -165,24 +169,24 @@
 	return x
 }
 
-// WithCrest returns x with ten times the capacity for a while, part of it from
-// one greedy caller.
-func (x Experiment) WithCrest(from, to, length time.Duration) Experiment {
+// WithPeak returns x with a peak load of ten times the capacity, half of it from one
+// greedy caller.
+func (x Experiment) WithPeak(from, to, length time.Duration) Experiment {
 	x.Loads = []Load{{
-		Class:     "visit",
-		Rate:      0.5 * x.Capacity(),
-		Callers:   100,
-		Crest:     20,
-		CrestFrom: from,
-		CrestTo:   to,
-		Greedy:    0.5,
+		Class:       "visit",
+		Rate:        0.5 * x.Capacity(),
+		Callers:     100,
+		PeakFactor:  20,
+		PeakFrom:    from,
+		PeakTo:      to,
+		GreedyShare: 0.5,
 	}}
 	x.Duration = length
 	return x
 }
 
-// WithUploads returns x with short work and with as many uploads as want every
-// slot.
+// WithUploads returns x with short requests and, if uploads is set, long uploads
+// that need twice the capacity.
 func (x Experiment) WithUploads(uploads bool, length time.Duration) Experiment {
 	x.Loads = []Load{
 		{Class: "visit", Rate: 0.25 * x.Capacity(), Callers: 100},
@@ -197,10 +201,10 @@
 	return x
 }
 
-// WithPathFault returns x with a backend server that one instance alone can't
-// get answers from.
+// WithPathFault returns x with a backend server that stalls only the requests of the
+// first instance.
 func (x Experiment) WithPathFault(load float64, at, until time.Duration) Experiment {
 	x = x.WithStall(load, at, until)
-	x.Faults[0].Path = 1
+	x.Faults[0].Instance = 1
 	return x
 }
--- a/experimenter/surroundings.go
+++ b/experimenter/surroundings.go
@@ -2,118 +2,123 @@
 
 import "monsoonswitch/descriptor"
 
-// hear passes a message to its receiver.
-func (w *world[E, D, P, L]) hear(from int, a descriptor.Send) {
+// deliver passes a message to the instance it is addressed to.
+func (s *simulation[E, D, P, L]) deliver(from int, a descriptor.Send) {
 	to := -1
-	for i, m := range w.members {
+	for i, m := range s.members {
 		if m.ID == a.To.ID {
 			to = i
 		}
 	}
-	b := w.balancers[to]
+	b := s.balancers[to]
 	switch m := a.Message.(type) {
 	case descriptor.Evidence:
-		b.HearEvidence(w.now, w.members[from].ID, m)
+		b.HearEvidence(s.now, s.members[from].ID, m)
 	case descriptor.Crash:
-		b.HearCrash(w.now, m)
+		b.HearCrash(s.now, m)
 	case descriptor.Drain:
-		b.HearDrain(w.now, m)
+		b.HearDrain(s.now, m)
 	case descriptor.Demand:
-		b.HearDemand(w.now, w.members[from], m)
+		b.HearDemand(s.now, s.members[from], m)
 	case descriptor.Loan:
-		b.HearLoan(w.now, m)
+		b.HearLoan(s.now, m)
 	}
-	w.collect(to)
+	s.performActions(to)
 }
 
-// write is the store: compare-and-swap of the set of ejections.
-func (w *world[E, D, P, L]) write(i int, a descriptor.Write) {
-	e := descriptor.Written{At: w.now, Write: a.Write}
+// write performs a compare-and-swap of the set of ejections in the store and passes
+// an accepted set to the other instances.
+func (s *simulation[E, D, P, L]) write(i int, a descriptor.Write) {
+	e := descriptor.Written{At: s.now, Write: a.Write}
 	switch {
-	case w.experiment.Outage > 0 && w.at() >= w.experiment.Outage:
+	case s.experiment.Outage > 0 && s.elapsed() >= s.experiment.Outage:
 		e.Result = descriptor.WriteUnavailable
-	case a.Expect != w.ejected.Revision:
+	case a.Expect != s.ejected.Revision:
 		e.Result = descriptor.WriteConflict
-		e.Current = w.ejected
+		e.Current = s.ejected
 	default:
-		w.revision++
-		w.ejected = a.Document
-		w.ejected.Revision = w.revision
-		e.Revision = w.revision
-		w.countEjections()
+		s.revision++
+		s.ejected = a.Document
+		s.ejected.Revision = s.revision
+		e.Revision = s.revision
+		s.countNewEjections()
 	}
-	document, ok := w.balancers[i].Written(e)
+	document, ok := s.balancers[i].Written(e)
 	if ok {
-		w.balancers[i].Eject(w.now, document)
+		s.balancers[i].Eject(s.now, document)
 	}
-	w.collect(i)
+	s.performActions(i)
 	if e.Result != descriptor.WriteAccepted {
 		return
 	}
-	for k := range w.balancers {
+	for k := range s.balancers {
 		if k != i {
-			w.after(messageTime, func() {
-				w.balancers[k].Eject(w.now, document)
-				w.collect(k)
+			s.after(messageDelay, func() {
+				s.balancers[k].Eject(s.now, document)
+				s.performActions(k)
 			})
 		}
 	}
 }
 
-// countEjections counts the newest ejections of the set.
-func (w *world[E, D, P, L]) countEjections() {
-	for _, e := range w.ejected.Ejections {
-		if !e.Since.Equal(w.now.Add(-storeTime)) {
+// countNewEjections counts the ejections that the last write added.
+func (s *simulation[E, D, P, L]) countNewEjections() {
+	for _, e := range s.ejected.Ejections {
+		if !e.Since.Equal(s.now.Add(-storeWriteTime)) {
 			continue
 		}
-		w.result.Ejections++
-		fault, faulty := w.faultOf(e.Backend)
+		s.result.Ejections++
+		fault, faulty := s.faultOf(e.Backend)
 		if !faulty {
-			w.result.False++
+			s.result.FalseEjections++
 			continue
 		}
-		if w.result.Detected < 0 {
-			w.result.Detected = w.at() - fault.From
+		if s.result.EjectedAfter < 0 {
+			s.result.EjectedAfter = s.elapsed() - fault.From
 		}
 	}
 }
 
-// faultOf returns the fault of a backend server that is or was in force, if it
-// is one of the backend server and not of a path.
-func (w *world[E, D, P, L]) faultOf(id string) (Fault, bool) {
-	for _, f := range w.experiment.Faults {
-		if w.fakes[f.Index].listed.ID == id && w.at() >= f.From && f.Path == 0 {
+// faultOf returns the fault of a backend server that has started, also if it has
+// ended. It ignores faults limited to one instance, since these do not justify an
+// ejection.
+func (s *simulation[E, D, P, L]) faultOf(id string) (Fault, bool) {
+	for _, f := range s.experiment.Faults {
+		if s.backends[f.Index].listed.ID == id && s.elapsed() >= f.From && f.Instance == 0 {
 			return f, true
 		}
 	}
 	return Fault{}, false
 }
 
-// watch looks for avoided backend servers and a broken floor at every tick.
-func (w *world[E, D, P, L]) watch() {
-	w.after(tickTime, w.watch)
-	holding := 0
-	for _, e := range w.ejected.Ejections {
-		if w.now.Before(e.Until) {
-			holding++
+// checkBackends checks periodically whether the faulty backend servers are avoided
+// and whether the ejections respect the floor.
+func (s *simulation[E, D, P, L]) checkBackends() {
+	s.after(tickInterval, s.checkBackends)
+	active := 0
+	for _, e := range s.ejected.Ejections {
+		if s.now.Before(e.Until) {
+			active++
 		}
 	}
-	if w.experiment.Backends-holding < w.experiment.Service.Keep(w.experiment.Backends) {
-		w.result.Breaches++
+	if s.experiment.Backends-active < s.experiment.Service.Keep(s.experiment.Backends) {
+		s.result.FloorBreaches++
 	}
-	if w.result.Avoided >= 0 {
+	if s.result.AvoidedAfter >= 0 {
 		return
 	}
-	for _, f := range w.experiment.Faults {
-		if w.at() >= f.From && w.avoidedByAll(w.fakes[f.Index].listed.ID, f) {
-			w.result.Avoided = w.at() - f.From
+	for _, f := range s.experiment.Faults {
+		if s.elapsed() >= f.From && s.avoidedByAll(s.backends[f.Index].listed.ID, f) {
+			s.result.AvoidedAfter = s.elapsed() - f.From
 		}
 	}
 }
 
-func (w *world[E, D, P, L]) avoidedByAll(id string, f Fault) bool {
-	for i, b := range w.balancers {
-		if f.Path > 0 && f.Path != i+1 {
+// avoidedByAll reports whether every instance affected by f avoids the backend
+// server.
+func (s *simulation[E, D, P, L]) avoidedByAll(id string, f Fault) bool {
+	for i, b := range s.balancers {
+		if f.Instance > 0 && f.Instance != i+1 {
 			continue
 		}
 		if !b.Avoids(id) {
@@ -123,11 +128,12 @@
 	return true
 }
 
-func (w *world[E, D, P, L]) countDuplicates() {
-	for _, r := range w.requests {
-		class, _ := w.experiment.Service.Class(r.class)
+// countDuplicates counts the non-idempotent requests that ran more than once.
+func (s *simulation[E, D, P, L]) countDuplicates() {
+	for _, r := range s.requests {
+		class, _ := s.experiment.Service.Class(r.class)
 		if !class.Idempotent && r.runs > 1 {
-			w.result.Duplicates++
+			s.result.Duplicates++
 		}
 	}
 }
--- a/experimenter/world.go
+++ b/experimenter/world.go
@@ -14,93 +14,100 @@
 	"monsoonswitch/picker"
 )
 
-// Times of the fake surroundings.
+// Times of the simulated environment.
 const (
-	// networkTime is the way between an instance and a backend server.
-	networkTime = 500 * time.Microsecond
-	// messageTime is the way between two instances.
-	messageTime = time.Millisecond
-	// storeTime is the time of a write to the store.
-	storeTime = 5 * time.Millisecond
-	// tickTime is the time between ticks of an instance with work, and idleTime
-	// without.
-	tickTime = 10 * time.Millisecond
-	idleTime = 100 * time.Millisecond
-	// restartTime is how long a restart takes, and coldTime how long work is
-	// coldFactor times slower after it.
+	// networkDelay is the one-way delay between an instance and a backend server.
+	networkDelay = 500 * time.Microsecond
+	// messageDelay is the one-way delay between two instances.
+	messageDelay = time.Millisecond
+	// storeWriteTime is the duration of a write to the store.
+	storeWriteTime = 5 * time.Millisecond
+	// tickInterval is the time between ticks of an instance with requests, and
+	// idleTickInterval of one without.
+	tickInterval     = 10 * time.Millisecond
+	idleTickInterval = 100 * time.Millisecond
+	// restartTime is how long a backend server is down during a restart. For
+	// coldTime after it, service times are multiplied by coldFactor.
 	restartTime = 2 * time.Second
 	coldTime    = 5 * time.Second
 	coldFactor  = 4
-	// paretoShape is the exponent of the tail of heavy work.
+	// paretoShape is the exponent of the Pareto tail of service times.
 	paretoShape = 1.5
-	// paretoLimit bounds heavy work in multiples of the median.
+	// paretoLimit bounds the tail as a multiple of the median service time.
 	paretoLimit = 200
 )
 
-// event is something that happens at a time.
+// event is a scheduled function call.
 type event struct {
 	at time.Time
-	// order breaks ties, so that runs repeat.
-	order uint64
-	do    func()
+	// sequence orders events of equal time, so that runs with the same seed are
+	// identical.
+	sequence uint64
+	run      func()
 }
 
-// flight is one attempt at a fake backend server.
-type flight struct {
+// attempt is an attempt to run a request at a simulated backend server.
+type attempt struct {
 	instance int
 	request  descriptor.RequestID
 	attempt  descriptor.AttemptID
 	weight   float64
-	// started tells that it holds a slot; gone that it was cancelled.
-	started, gone bool
+	// started reports whether the attempt took a slot, and finished whether it
+	// was completed, failed or cancelled.
+	started, finished bool
 }
 
-// fake is a fake backend server.
-type fake struct {
-	listed  descriptor.Backend
+// fakeBackend is a simulated backend server.
+type fakeBackend struct {
+	listed descriptor.Backend
+	// busy is the number of slots in use.
 	busy    int
-	waiting []*flight
-	// held lists the work of a stall.
-	held   []*flight
-	open   map[*flight]bool
-	coldTo time.Time
-	downTo time.Time
+	waiting []*attempt
+	// stalled lists the attempts that a stall stopped.
+	stalled []*attempt
+	open    map[*attempt]bool
+	// coldUntil and downUntil are the ends of the last cold start and restart.
+	coldUntil time.Time
+	downUntil time.Time
 }
 
-// request is what the world knows of a request.
+// request is the state of one request.
 type request struct {
 	class   string
 	arrived time.Time
-	greedy  bool
-	runs    int
-	ended   bool
+	// greedy reports whether the greedy caller sent the request.
+	greedy bool
+	// runs counts the attempts that began at a backend server.
+	runs  int
+	ended bool
 }
 
-// world runs one experiment.
-type world[E any, D detector.Policy[E], P picker.Policy, L limiter.Policy] struct {
+// simulation runs one experiment as a discrete-event simulation.
+type simulation[E any, D detector.Policy[E], P picker.Policy, L limiter.Policy] struct {
 	experiment Experiment
 	random     *rand.Rand
 	start, now time.Time
-	order      uint64
+	sequence   uint64
 	events     *container.Heap[event]
 	members    []descriptor.Member
 	balancers  []*balancer.Balancer[E, D, P, L]
-	fakes      []*fake
-	byID       map[string]*fake
+	backends   []*fakeBackend
+	byID       map[string]*fakeBackend
 	requests   []request
 	// ejected is the set of ejections in the store.
 	ejected  descriptor.Document
 	revision uint64
 	writes   descriptor.WriteID
-	owners   map[descriptor.WriteID]int
-	result   Result
-	actions  []descriptor.Action
-	ended    []balancer.Ended
+	// writers maps each write to the instance that issued it.
+	writers map[descriptor.WriteID]int
+	result  Result
+	actions []descriptor.Action
+	ended   []balancer.Ended
 }
 
-// Run runs an experiment with a set of policies.
+// Run simulates an experiment with a set of policies.
 func Run[E any, D detector.Policy[E], P picker.Policy, L limiter.Policy](x Experiment) Result {
-	w := &world[E, D, P, L]{
+	s := &simulation[E, D, P, L]{
 		experiment: x,
 		random:     rand.New(rand.NewPCG(x.Seed, 7)),
 		start:      time.Unix(1_700_000_000, 0),
@@ -108,164 +115,173 @@
 			if !a.at.Equal(b.at) {
 				return a.at.Before(b.at)
 			}
-			return a.order < b.order
+			return a.sequence < b.sequence
 		}),
-		byID:   make(map[string]*fake),
-		owners: make(map[descriptor.WriteID]int),
-		result: Result{Classes: make(map[string]*ClassResult), Detected: -1, Avoided: -1},
+		byID:    make(map[string]*fakeBackend),
+		writers: make(map[descriptor.WriteID]int),
+		result:  Result{Classes: make(map[string]*ClassResult), EjectedAfter: -1, AvoidedAfter: -1},
 	}
-	w.now = w.start
-	w.build()
-	w.run()
-	w.countDuplicates()
-	return w.result
+	s.now = s.start
+	s.build()
+	s.run()
+	s.countDuplicates()
+	return s.result
 }
 
-func (w *world[E, D, P, L]) build() {
-	x := w.experiment
+// build creates the members, backend servers and balancers.
+func (s *simulation[E, D, P, L]) build() {
+	x := s.experiment
 	for i := range x.Instances {
-		w.members = append(w.members, descriptor.Member{ID: fmt.Sprintf("entry-%d", i), Ready: true})
+		s.members = append(s.members, descriptor.Member{ID: fmt.Sprintf("entry-%d", i), Ready: true})
 	}
 	var list []descriptor.Backend
 	for i := range x.Backends {
 		b := descriptor.Backend{ID: fmt.Sprintf("%s-%d", x.Service.Name, i), Slots: x.Slots}
-		f := &fake{listed: b, open: make(map[*flight]bool)}
-		w.fakes = append(w.fakes, f)
-		w.byID[b.ID] = f
+		f := &fakeBackend{listed: b, open: make(map[*attempt]bool)}
+		s.backends = append(s.backends, f)
+		s.byID[b.ID] = f
 		list = append(list, b)
 	}
 	for i := range x.Instances {
 		b := balancer.New[E, D, P, L](x.Service, balancer.Options{
-			Self: w.members[i].ID,
+			Self: s.members[i].ID,
 			Seed: x.Seed + uint64(i),
 			NextWrite: func() descriptor.WriteID {
-				w.writes++
-				w.owners[w.writes] = i
-				return w.writes
+				s.writes++
+				s.writers[s.writes] = i
+				return s.writes
 			},
 		})
-		b.List(w.now, list, time.Time{})
-		b.Serve(w.now, w.members)
-		w.balancers = append(w.balancers, b)
+		b.List(s.now, list, time.Time{})
+		b.Serve(s.now, s.members)
+		s.balancers = append(s.balancers, b)
 	}
 	for _, c := range x.Service.Classes {
-		w.result.Classes[c.Name] = newClassResult(x.Duration)
+		s.result.Classes[c.Name] = newClassResult(x.Duration)
 	}
 }
 
-func (w *world[E, D, P, L]) run() {
-	for i := range w.balancers {
-		w.after(time.Duration(i)*time.Millisecond, func() { w.tick(i) })
+// run schedules the first events and processes events until the experiment ends.
+func (s *simulation[E, D, P, L]) run() {
+	for i := range s.balancers {
+		s.after(time.Duration(i)*time.Millisecond, func() { s.tick(i) })
 	}
-	for _, l := range w.experiment.Loads {
-		w.arriveNext(l)
+	for _, l := range s.experiment.Loads {
+		s.scheduleArrival(l)
 	}
-	for _, f := range w.experiment.Faults {
-		w.after(f.To, func() { w.heal(f) })
+	for _, f := range s.experiment.Faults {
+		s.after(f.To, func() { s.endFault(f) })
 	}
-	if w.experiment.Restart > 0 {
-		for _, f := range w.fakes {
-			w.restartNext(f)
+	if s.experiment.Restart > 0 {
+		for _, f := range s.backends {
+			s.scheduleRestart(f)
 		}
 	}
-	w.after(0, w.watch)
-	end := w.start.Add(w.experiment.Duration)
+	s.after(0, s.checkBackends)
+	end := s.start.Add(s.experiment.Duration)
 	for {
-		e, ok := w.events.Pop()
+		e, ok := s.events.Pop()
 		if !ok || e.at.After(end) {
 			return
 		}
-		w.now = e.at
-		e.do()
+		s.now = e.at
+		e.run()
 	}
 }
 
-func (w *world[E, D, P, L]) after(d time.Duration, do func()) {
-	w.order++
-	w.events.Push(event{at: w.now.Add(d), order: w.order, do: do})
+// after schedules a function call.
+func (s *simulation[E, D, P, L]) after(d time.Duration, run func()) {
+	s.sequence++
+	s.events.Push(event{at: s.now.Add(d), sequence: s.sequence, run: run})
 }
 
-func (w *world[E, D, P, L]) at() time.Duration { return w.now.Sub(w.start) }
+// elapsed returns the simulated time since the start.
+func (s *simulation[E, D, P, L]) elapsed() time.Duration { return s.now.Sub(s.start) }
 
-// arriveNext plans the next request of a load.
-func (w *world[E, D, P, L]) arriveNext(l Load) {
-	rate, crest := w.rate(l)
-	wait := time.Duration(w.random.ExpFloat64() / rate * float64(time.Second))
-	w.after(wait, func() {
-		w.arrive(l, crest)
-		w.arriveNext(l)
+// scheduleArrival schedules the next request of a load.
+func (s *simulation[E, D, P, L]) scheduleArrival(l Load) {
+	rate, peak := s.rate(l)
+	wait := time.Duration(s.random.ExpFloat64() / rate * float64(time.Second))
+	s.after(wait, func() {
+		s.arrive(l, peak)
+		s.scheduleArrival(l)
 	})
 }
 
-// rate returns the present rate of a load and whether it is in a crest.
-func (w *world[E, D, P, L]) rate(l Load) (float64, bool) {
-	at := w.at()
-	if l.CrestEvery > 0 {
-		at %= l.CrestEvery
+// rate returns the current rate of a load in requests a second, and whether it is
+// at its peak.
+func (s *simulation[E, D, P, L]) rate(l Load) (float64, bool) {
+	at := s.elapsed()
+	if l.PeakEvery > 0 {
+		at %= l.PeakEvery
 	}
-	if l.Crest > 0 && at >= l.CrestFrom && at < l.CrestTo {
-		return l.Rate * l.Crest, true
+	if l.PeakFactor > 0 && at >= l.PeakFrom && at < l.PeakTo {
+		return l.Rate * l.PeakFactor, true
 	}
 	return l.Rate, false
 }
 
-func (w *world[E, D, P, L]) arrive(l Load, crest bool) {
-	class, _ := w.experiment.Service.Class(l.Class)
-	greedy := crest && w.random.Float64() < l.Greedy
+// arrive passes one request of a load to a random instance.
+func (s *simulation[E, D, P, L]) arrive(l Load, peak bool) {
+	class, _ := s.experiment.Service.Class(l.Class)
+	greedy := peak && s.random.Float64() < l.GreedyShare
 	caller := "greedy"
 	if !greedy {
-		caller = fmt.Sprintf("caller-%d", w.random.IntN(max(1, l.Callers)))
+		caller = fmt.Sprintf("caller-%d", s.random.IntN(max(1, l.Callers)))
 	}
-	id := descriptor.RequestID(len(w.requests) + 1)
-	w.requests = append(w.requests, request{class: l.Class, arrived: w.now, greedy: greedy})
-	instance := w.random.IntN(len(w.balancers))
+	id := descriptor.RequestID(len(s.requests) + 1)
+	s.requests = append(s.requests, request{class: l.Class, arrived: s.now, greedy: greedy})
+	instance := s.random.IntN(len(s.balancers))
 	e := descriptor.Arrived{
-		At:          w.now,
+		At:          s.now,
 		Request:     id,
-		Service:     w.experiment.Service.Name,
+		Service:     s.experiment.Service.Name,
 		Class:       l.Class,
 		Caller:      caller,
 		Fingerprint: uint64(id),
 		Replayable:  class.Idempotent,
 	}
-	if l.Patience > 0 {
-		e.Deadline = w.now.Add(l.Patience)
+	if l.Timeout > 0 {
+		e.Deadline = s.now.Add(l.Timeout)
 	}
-	w.result.Classes[l.Class].Sent++
-	w.balancers[instance].Arrive(e)
-	w.collect(instance)
+	s.result.Classes[l.Class].Sent++
+	s.balancers[instance].Arrive(e)
+	s.performActions(instance)
 }
 
-func (w *world[E, D, P, L]) tick(i int) {
-	w.balancers[i].Tick(w.now)
-	w.collect(i)
-	next := tickTime
-	if !w.balancers[i].Busy() {
-		next = idleTime
+// tick calls an instance's Tick and schedules the next one.
+func (s *simulation[E, D, P, L]) tick(i int) {
+	s.balancers[i].Tick(s.now)
+	s.performActions(i)
+	next := tickInterval
+	if !s.balancers[i].Busy() {
+		next = idleTickInterval
 	}
-	w.after(next, func() { w.tick(i) })
+	s.after(next, func() { s.tick(i) })
 }
 
-// collect carries out the actions of an instance.
-func (w *world[E, D, P, L]) collect(i int) {
-	w.actions, w.ended = w.balancers[i].Flush(w.actions[:0], w.ended[:0])
-	for _, e := range w.ended {
-		w.end(e)
+// performActions records the requests that ended at an instance and performs the
+// actions that it returned.
+func (s *simulation[E, D, P, L]) performActions(i int) {
+	s.actions, s.ended = s.balancers[i].Flush(s.actions[:0], s.ended[:0])
+	for _, e := range s.ended {
+		s.recordOutcome(e)
 	}
-	for _, a := range append([]descriptor.Action(nil), w.actions...) {
-		w.do(i, a)
+	for _, a := range append([]descriptor.Action(nil), s.actions...) {
+		s.perform(i, a)
 	}
 }
 
-func (w *world[E, D, P, L]) end(e balancer.Ended) {
-	r := &w.requests[e.Request-1]
+// recordOutcome counts a request that ended.
+func (s *simulation[E, D, P, L]) recordOutcome(e balancer.Ended) {
+	r := &s.requests[e.Request-1]
 	r.ended = true
-	c := w.result.Classes[r.class]
+	c := s.result.Classes[r.class]
 	switch e.Reason {
 	case descriptor.Served:
 		c.Served++
 		_ = c.Latency.RecordValue(max(histogramLow, e.Latency.Microseconds()))
-		if second := int(w.at().Seconds()); second < len(c.PerSecond) {
+		if second := int(s.elapsed().Seconds()); second < len(c.PerSecond) {
 			c.PerSecond[second]++
 		}
 		if r.greedy {
@@ -275,7 +291,7 @@
 		}
 	case descriptor.Overloaded, descriptor.Expired, descriptor.NoBackend:
 		c.Refused++
-		class, _ := w.experiment.Service.Class(r.class)
+		class, _ := s.experiment.Service.Class(r.class)
 		if e.Outcome == descriptor.NotRun && e.Latency > class.Target {
 			c.LateRefused++
 		}
@@ -286,37 +302,39 @@
 	}
 }
 
-func (w *world[E, D, P, L]) do(i int, action descriptor.Action) {
+// perform performs one action of an instance.
+func (s *simulation[E, D, P, L]) perform(i int, action descriptor.Action) {
 	switch a := action.(type) {
 	case descriptor.Dispatch:
-		w.result.Attempts++
-		f := &flight{instance: i, request: a.Request, attempt: a.Attempt, weight: w.weightOf(a.Request)}
-		target := w.byID[a.Backend.ID]
-		w.after(networkTime, func() { w.enter(target, f) })
-		target.open[f] = true
+		s.result.Attempts++
+		v := &attempt{instance: i, request: a.Request, attempt: a.Attempt, weight: s.weightOf(a.Request)}
+		backend := s.byID[a.Backend.ID]
+		s.after(networkDelay, func() { s.admit(backend, v) })
+		backend.open[v] = true
 	case descriptor.Deliver:
-		w.after(0, func() {
-			w.balancers[i].Finished(descriptor.Finished{At: w.now, Request: a.Request, Attempt: a.Attempt, Bytes: 1})
-			w.collect(i)
+		s.after(0, func() {
+			s.balancers[i].Finished(descriptor.Finished{At: s.now, Request: a.Request, Attempt: a.Attempt, Bytes: 1})
+			s.performActions(i)
 		})
 	case descriptor.Cancel:
-		w.after(networkTime, func() { w.cancel(i, a) })
+		s.after(networkDelay, func() { s.cancel(i, a) })
 	case descriptor.Send:
-		w.after(messageTime, func() { w.hear(i, a) })
+		s.after(messageDelay, func() { s.deliver(i, a) })
 	case descriptor.Write:
-		w.after(storeTime, func() { w.write(i, a) })
+		s.after(storeWriteTime, func() { s.write(i, a) })
 	case descriptor.Probe:
-		target := w.byID[a.Backend.ID]
-		w.after(networkTime, func() {
-			w.balancers[i].Probed(descriptor.Probed{At: w.now, Service: a.Service, Backend: a.Backend.ID, Suspected: a.Suspected, Alive: !w.now.Before(target.downTo)})
-			w.collect(i)
+		backend := s.byID[a.Backend.ID]
+		s.after(networkDelay, func() {
+			s.balancers[i].Probed(descriptor.Probed{At: s.now, Service: a.Service, Backend: a.Backend.ID, Suspected: a.Suspected, Alive: !s.now.Before(backend.downUntil)})
+			s.performActions(i)
 		})
 	}
 }
 
-func (w *world[E, D, P, L]) weightOf(id descriptor.RequestID) float64 {
-	class := w.requests[id-1].class
-	for _, l := range w.experiment.Loads {
+// weightOf returns the weight of a request's load.
+func (s *simulation[E, D, P, L]) weightOf(id descriptor.RequestID) float64 {
+	class := s.requests[id-1].class
+	for _, l := range s.experiment.Loads {
 		if l.Class == class && l.Weight > 0 {
 			return l.Weight
 		}
@@ -324,16 +342,16 @@
 	return 1
 }
 
-// serviceTime draws the time of one piece of work.
-func (w *world[E, D, P, L]) serviceTime(f *fake, weight float64) time.Duration {
-	x := w.experiment
+// serviceTime draws the service time of one attempt at f.
+func (s *simulation[E, D, P, L]) serviceTime(f *fakeBackend, weight float64) time.Duration {
+	x := s.experiment
 	d := float64(x.Median) * weight
-	if w.random.Float64() < x.Heavy {
-		d *= min(paretoLimit, math.Pow(1-w.random.Float64(), -1/paretoShape))
+	if s.random.Float64() < x.HeavyShare {
+		d *= min(paretoLimit, math.Pow(1-s.random.Float64(), -1/paretoShape))
 	} else {
-		d *= math.Exp(x.Spread * w.random.NormFloat64())
+		d *= math.Exp(x.Spread * s.random.NormFloat64())
 	}
-	if w.now.Before(f.coldTo) {
+	if s.now.Before(f.coldUntil) {
 		d *= coldFactor
 	}
 	return time.Duration(d)
