--- a/imitator/backend.go
+++ b/imitator/backend.go
@@ -7,54 +7,57 @@
 	"time"
 )
 
-// BackendFault is what is wrong with the stand-in of a backend server.
+// BackendFault describes the faults of a backend server's stand-in.
 type BackendFault struct {
-	// Stall holds all real work while health checks pass.
+	// Stall holds all requests for work, while health checks still pass.
 	Stall bool `json:"stall"`
-	// Errors is the share of work answered with status 500.
+	// Errors is the share of requests answered with status 500, from 0 to 1.
 	Errors float64 `json:"errors"`
-	// Cut is the share of answers that break off.
+	// Cut is the share of responses that are truncated, from 0 to 1.
 	Cut float64 `json:"cut"`
-	// Late delays every answer.
+	// Late is added to the service time of every request.
 	Late time.Duration `json:"late"`
-	// Flap switches Stall on and off with this period; zero means not at all.
+	// Flap switches Stall on and off after each interval of this length; zero
+	// leaves Stall as it is.
 	Flap time.Duration `json:"flap"`
-	// Drain announces that the backend server leaves, and refuses new work.
+	// Drain announces the state draining and refuses new requests.
 	Drain bool `json:"drain"`
 }
 
-// BackendOptions are the constant parts of the stand-in.
+// BackendOptions are the fixed parameters of a stand-in.
 type BackendOptions struct {
-	// Slots is the number of requests that run at a time.
+	// Slots is the number of requests that run concurrently.
 	Slots int
-	// Backlog is the number of requests that wait before work is shed.
+	// Backlog is the number of requests that may wait for a slot; further ones
+	// are shed.
 	Backlog int
 	// Median is the median service time.
 	Median time.Duration
 	// Spread is the standard deviation of the logarithm of the service time.
 	Spread float64
-	// Cold is how long the service time is longer after a start.
+	// Cold is how long after a start service times are multiplied by coldFactor.
 	Cold time.Duration
-	// Down is how long a crash takes the backend server down.
+	// Down is how long the backend server is down after a crash.
 	Down time.Duration
-	// Seed makes the service times repeatable.
+	// Seed seeds the generator of service times and random faults.
 	Seed uint64
 }
 
-// BackendCounts is what the stand-in counted.
+// BackendCounts holds the counters of a stand-in.
 type BackendCounts struct {
-	// Begun and Done count requests that began and that ran to their end.
+	// Begun and Done count requests that started and that completed.
 	Begun uint64 `json:"begun"`
 	Done  uint64 `json:"done"`
-	// Shed counts refused requests, and Cancelled those given up by the fleet.
+	// Shed counts refused requests, and Cancelled those that started but did
+	// not complete.
 	Shed      uint64 `json:"shed"`
 	Cancelled uint64 `json:"cancelled"`
 	Crashes   uint64 `json:"crashes"`
-	// Peak is the largest number of requests at a time.
+	// Peak is the largest number of requests running or waiting at once.
 	Peak int `json:"peak"`
-	// DrainedBegun counts the requests that began while draining.
+	// DrainedBegun counts the requests that started while draining.
 	DrainedBegun uint64 `json:"drainedbegun"`
-	// Keys counts the runs by the token of the request.
+	// Keys maps the token of each request to the number of its runs.
 	Keys map[string]int `json:"keys"`
 }
 
@@ -63,42 +66,45 @@
 	options BackendOptions
 	slots   chan struct{}
 
-	mu      sync.Mutex
-	random  *rand.Rand
-	fault   BackendFault
-	flapAt  time.Time
-	started time.Time
-	// downUntil is when a crash is over.
+	mu     sync.Mutex
+	random *rand.Rand
+	fault  BackendFault
+	// faultSince is when the fault was set; flapping counts from it.
+	faultSince time.Time
+	started    time.Time
+	// downUntil is the end of the last crash.
 	downUntil time.Time
-	// crash is closed at the next crash, and stopped is called then.
-	crash   chan struct{}
-	stopped func(time.Duration)
-	inside  int
-	counts  BackendCounts
+	// crash is closed at the next crash; crashHandler is then called with the
+	// length of the crash.
+	crash        chan struct{}
+	crashHandler func(time.Duration)
+	// admitted is the number of requests running or waiting for a slot.
+	admitted int
+	counts   BackendCounts
 }
 
-// NewBackend returns a stand-in that starts at now.
+// NewBackend returns a stand-in that started at now.
 func NewBackend(o BackendOptions, now time.Time) *Backend {
 	return &Backend{
-		options: o,
-		slots:   make(chan struct{}, o.Slots),
-		random:  rand.New(rand.NewPCG(o.Seed, 1)),
-		started: now,
-		crash:   make(chan struct{}),
-		stopped: func(time.Duration) {},
-		counts:  BackendCounts{Keys: make(map[string]int)},
+		options:      o,
+		slots:        make(chan struct{}, o.Slots),
+		random:       rand.New(rand.NewPCG(o.Seed, 1)),
+		started:      now,
+		crash:        make(chan struct{}),
+		crashHandler: func(time.Duration) {},
+		counts:       BackendCounts{Keys: make(map[string]int)},
 	}
 }
 
-// SetFault replaces the faults at now.
+// SetFault replaces the faults; flapping starts at now.
 func (b *Backend) SetFault(f BackendFault, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.fault = f
-	b.flapAt = now
+	b.faultSince = now
 }
 
-// Counts returns what was counted so far.
+// Counts returns a copy of the counters.
 func (b *Backend) Counts() BackendCounts {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -110,18 +116,19 @@
 	return c
 }
 
-// faultAt returns the faults in force at now.
+// faultAt returns the faults at now, with Stall set according to Flap.
 func (b *Backend) faultAt(now time.Time) BackendFault {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	f := b.fault
 	if f.Flap > 0 {
-		f.Stall = int(now.Sub(b.flapAt)/f.Flap)%2 == 0
+		f.Stall = int(now.Sub(b.faultSince)/f.Flap)%2 == 0
 	}
 	return f
 }
 
-// serviceTime draws the time that work with the given weight takes at now.
+// serviceTime draws the service time of a request with the given weight that starts
+// at now.
 func (b *Backend) serviceTime(weight float64, now time.Time) time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -132,17 +139,17 @@
 	return time.Duration(d)
 }
 
-// coldFactor is how many times longer work takes during a cold start.
+// coldFactor multiplies service times during a cold start.
 const coldFactor = 4
 
-// chance draws whether something with the given share happens.
-func (b *Backend) chance(share float64) bool {
+// draw returns true with the given probability.
+func (b *Backend) draw(share float64) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return share > 0 && b.random.Float64() < share
 }
 
-// Crash breaks all connections and refuses new ones for a while.
+// Crash breaks all connections and refuses new ones for the time set by Down.
 func (b *Backend) Crash(now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -151,49 +158,53 @@
 	b.started = b.downUntil
 	close(b.crash)
 	b.crash = make(chan struct{})
-	go b.stopped(b.options.Down)
+	go b.crashHandler(b.options.Down)
 }
 
-// onCrash sets what is called at each crash with its length.
-func (b *Backend) onCrash(f func(time.Duration)) {
+// setCrashHandler sets the function that is called at each crash with the length of
+// the crash.
+func (b *Backend) setCrashHandler(f func(time.Duration)) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.stopped = f
+	b.crashHandler = f
 }
 
-// down tells whether the backend server is down at now.
+// down reports whether the backend server is down at now.
 func (b *Backend) down(now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return now.Before(b.downUntil)
 }
 
+// crashed returns a channel that is closed at the next crash.
 func (b *Backend) crashed() <-chan struct{} {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.crash
 }
 
-// enter counts a request that came and tells whether there is room for it.
-func (b *Backend) enter() bool {
+// admit reports whether there is a slot or room in the backlog for a new request. It
+// counts the request as admitted or as shed.
+func (b *Backend) admit() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.inside >= b.options.Slots+b.options.Backlog || b.fault.Drain {
+	if b.admitted >= b.options.Slots+b.options.Backlog || b.fault.Drain {
 		b.counts.Shed++
 		return false
 	}
-	b.inside++
-	b.counts.Peak = max(b.counts.Peak, b.inside)
+	b.admitted++
+	b.counts.Peak = max(b.counts.Peak, b.admitted)
 	return true
 }
 
-func (b *Backend) leave() {
+// release ends an admitted request.
+func (b *Backend) release() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.inside--
+	b.admitted--
 }
 
-// begin counts the run of a request.
+// begin counts the start of a request.
 func (b *Backend) begin(token string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -206,6 +217,7 @@
 	}
 }
 
+// end counts the end of a request; done reports whether it completed.
 func (b *Backend) end(done bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -216,14 +228,14 @@
 	}
 }
 
-// load returns the requests inside and the slots.
+// load returns the number of slots in use and the number of slots.
 func (b *Backend) load() (int, int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return min(b.inside, b.options.Slots), b.options.Slots
+	return min(b.admitted, b.options.Slots), b.options.Slots
 }
 
-// state returns the name of the health that answers announce at now.
+// state returns the state that responses announce at now: ready, cold or draining.
 func (b *Backend) state(now time.Time) string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/imitator/backend_server.go
+++ b/imitator/backend_server.go
@@ -11,24 +11,25 @@
 	"time"
 )
 
-// Paths and parameters of the stand-in of a backend server.
+// Paths and query parameters of a backend server's stand-in.
 const (
 	CountsPath = "/-/counts"
 	HealthPath = "/-/health"
-	// Work is described by these query parameters: a token that the answer
-	// carries, the size of the answer in bytes, the weight of the work as a
-	// multiple of the median service time, and a mark that brings the backend
-	// server down.
+	// These query parameters describe a request for work: a token that is
+	// repeated in the response, the size of the response in bytes, the weight as
+	// a multiple of the median service time, and whether the request crashes the
+	// backend server.
 	TokenParameter  = "token"
 	SizeParameter   = "size"
 	WeightParameter = "weight"
 	CrashParameter  = "crash"
 )
 
-// maxSize bounds an answer in bytes.
+// maxSize bounds the size of a response, in bytes.
 const maxSize = 64 << 20
 
-// ServeHTTP serves work, health checks and the control of the stand-in.
+// ServeHTTP implements http.Handler. It serves requests for work, health checks and
+// the control interface of the stand-in.
 func (b *Backend) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	now := time.Now()
 	if b.down(now) && !strings.HasPrefix(r.URL.Path, "/-/") {
@@ -40,7 +41,7 @@
 	case CountsPath:
 		writeJSON(w, http.StatusOK, b.Counts())
 	case HealthPath:
-		b.announce(w)
+		b.setStateHeaders(w)
 		writeJSON(w, http.StatusOK, b.state(now))
 	default:
 		b.serveWork(w, r)
@@ -57,32 +58,33 @@
 	writeJSON(w, http.StatusOK, f)
 }
 
-// announce sets the headers in which a backend server reports its state.
-func (b *Backend) announce(w http.ResponseWriter) {
+// setStateHeaders sets the headers in which a backend server reports its load and
+// state.
+func (b *Backend) setStateHeaders(w http.ResponseWriter) {
 	used, slots := b.load()
 	w.Header().Set("Backend-Load", strconv.Itoa(used)+"/"+strconv.Itoa(slots))
 	w.Header().Set("Backend-State", b.state(time.Now()))
 }
 
 func (b *Backend) serveWork(w http.ResponseWriter, r *http.Request) {
-	if !b.enter() {
-		b.announce(w)
+	if !b.admit() {
+		b.setStateHeaders(w)
 		w.Header().Set("Backend-Refused", "not-run")
-		writeProblem(w, http.StatusServiceUnavailable, errors.New("no slot"))
+		writeProblem(w, http.StatusServiceUnavailable, errors.New("all slots in use or draining"))
 		return
 	}
-	defer b.leave()
+	defer b.release()
 	select {
 	case b.slots <- struct{}{}:
 	case <-r.Context().Done():
 		return
 	}
 	defer func() { <-b.slots }()
-	b.work(w, r)
+	b.run(w, r)
 }
 
-// work runs one request.
-func (b *Backend) work(w http.ResponseWriter, r *http.Request) {
+// run runs one request that holds a slot.
+func (b *Backend) run(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
 	b.begin(query.Get(TokenParameter))
 	received, err := io.Copy(io.Discard, r.Body)
@@ -95,7 +97,7 @@
 		b.Crash(time.Now())
 		panic(http.ErrAbortHandler)
 	}
-	if !b.spend(r, crash) {
+	if !b.sleepServiceTime(r, crash) {
 		b.end(false)
 		panic(http.ErrAbortHandler)
 	}
@@ -103,9 +105,10 @@
 	b.end(true)
 }
 
-// spend takes the service time and tells whether the work came to its end.
-func (b *Backend) spend(r *http.Request, crash <-chan struct{}) bool {
-	weight := numberOr(r, WeightParameter, 1)
+// sleepServiceTime waits for the service time of a request and for the end of a
+// stall. It returns false if the backend server crashes or the request is cancelled.
+func (b *Backend) sleepServiceTime(r *http.Request, crash <-chan struct{}) bool {
+	weight := numberParameter(r, WeightParameter, 1)
 	now := time.Now()
 	fault := b.faultAt(now)
 	timer := time.NewTimer(b.serviceTime(weight, now) + fault.Late)
@@ -116,7 +119,7 @@
 			if !b.faultAt(time.Now()).Stall {
 				return true
 			}
-			timer.Reset(stallPoll)
+			timer.Reset(stallPollInterval)
 		case <-crash:
 			return false
 		case <-r.Context().Done():
@@ -125,36 +128,40 @@
 	}
 }
 
-// stallPoll is how often stalled work looks whether the stall is over.
-const stallPoll = 50 * time.Millisecond
+// stallPollInterval is the time between checks whether a stall has ended.
+const stallPollInterval = 50 * time.Millisecond
 
+// answer writes the response, or the one that the current fault demands.
 func (b *Backend) answer(w http.ResponseWriter, r *http.Request, received int64) {
 	fault := b.faultAt(time.Now())
-	b.announce(w)
-	if b.chance(fault.Errors) {
-		writeProblem(w, http.StatusInternalServerError, errors.New("fault"))
+	b.setStateHeaders(w)
+	if b.draw(fault.Errors) {
+		writeProblem(w, http.StatusInternalServerError, errors.New("injected error"))
 		return
 	}
 	token := r.URL.Query().Get(TokenParameter)
-	size := int(min(maxSize, max(0, numberOr(r, SizeParameter, 64))))
+	size := int(min(maxSize, max(0, numberParameter(r, SizeParameter, 64))))
 	body := Body(token, size)
 	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	w.Header().Set("Received", strconv.FormatInt(received, 10))
-	if b.chance(fault.Cut) {
+	if b.draw(fault.Cut) {
 		_, _ = io.WriteString(w, body[:len(body)/2])
 		panic(http.ErrAbortHandler)
 	}
 	_, _ = io.WriteString(w, body)
 }
 
-// Body returns the answer to a token: callers check that it is whole and theirs.
+// Body returns the response body for a token. Callers use it to check that a
+// response is complete and belongs to their request.
 func Body(token string, size int) string {
 	sum := strconv.FormatUint(uint64(crc32.ChecksumIEEE([]byte(token))), 16)
 	unit := token + ":" + sum + ";"
 	return strings.Repeat(unit, size/len(unit)+1)
 }
 
-func numberOr(r *http.Request, name string, fallback float64) float64 {
+// numberParameter returns a non-negative number from the query, or fallback if it is
+// missing or invalid.
+func numberParameter(r *http.Request, name string, fallback float64) float64 {
 	v, err := strconv.ParseFloat(r.URL.Query().Get(name), 64)
 	if err != nil || !(v >= 0) {
 		return fallback
--- a/imitator/keys_test.go
+++ b/imitator/keys_test.go
@@ -7,7 +7,7 @@
 	"monsoonswitch/asserter"
 )
 
-// TestKeys guards the names of the fields that faults are set and counts are read with.
+// TestKeys checks the JSON keys by which faults are set and counts are read.
 func TestKeys(t *testing.T) {
 	asserter.Keys(t, "testdata/keys.golden", map[string]any{
 		"backendfault":  BackendFault{},
--- a/imitator/process.go
+++ b/imitator/process.go
@@ -7,7 +7,7 @@
 	"monsoonswitch/listener"
 )
 
-// Limits of the stand-ins' listeners.
+// Limits of the stand-ins' listeners; headerBytes bounds the headers of a request.
 const (
 	headerTimeout = 10 * time.Second
 	idleTimeout   = time.Minute
@@ -23,15 +23,17 @@
 	}
 }
 
-// Process is a stand-in with its listener.
+// Process is a running stand-in with its listener.
 type Process struct {
-	mu       sync.Mutex
+	mu sync.Mutex
+	// listener is nil while a backend server is down.
 	listener *listener.Listener
 	address  string
 	closed   bool
 }
 
-// ServeStore starts the stand-in of the platform on an address.
+// ServeStore starts the platform's stand-in on an address. It returns an error if it
+// cannot listen there.
 func ServeStore(s *Store, address string) (*Process, error) {
 	l, err := listener.New(options(address), s)
 	if err != nil {
@@ -40,22 +42,22 @@
 	return &Process{listener: l, address: l.Address()}, nil
 }
 
-// ServeBackend starts the stand-in of a backend server on an address. While it
-// is down after a crash it does not listen.
+// ServeBackend starts a backend server's stand-in on an address. It does not listen
+// while it is down after a crash. It returns an error if it cannot listen at first.
 func ServeBackend(b *Backend, address string) (*Process, error) {
 	l, err := listener.New(options(address), b)
 	if err != nil {
 		return nil, err
 	}
 	p := &Process{listener: l, address: l.Address()}
-	b.onCrash(func(down time.Duration) { p.restart(b, down) })
+	b.setCrashHandler(func(down time.Duration) { p.restart(b, down) })
 	return p, nil
 }
 
-// Address returns the host:port listened on.
+// Address returns the listening address as host:port.
 func (p *Process) Address() string { return p.address }
 
-// Close ends the stand-in at once.
+// Close stops the stand-in immediately.
 func (p *Process) Close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -65,7 +67,7 @@
 	}
 }
 
-// restart stops listening for a while.
+// restart closes the listener and listens again after down.
 func (p *Process) restart(b *Backend, down time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -77,6 +79,8 @@
 	time.AfterFunc(down, func() { p.listenAgain(b) })
 }
 
+// listenAgain listens on the same address again. It retries as long as the address
+// is not available.
 func (p *Process) listenAgain(b *Backend) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -85,7 +89,7 @@
 	}
 	l, err := listener.New(options(p.address), b)
 	if err != nil {
-		time.AfterFunc(stallPoll, func() { p.listenAgain(b) })
+		time.AfterFunc(stallPollInterval, func() { p.listenAgain(b) })
 		return
 	}
 	p.listener = l
--- a/imitator/store.go
+++ b/imitator/store.go
@@ -1,5 +1,6 @@
-// Package imitator holds stand-ins for what surrounds the fleet: the platform's
-// services and backend servers with faults that can be switched on.
+// Package imitator holds stand-ins for the environment of the fleet: the platform's
+// store with its list of backend servers, and backend servers, both with faults that
+// can be switched on.
 package imitator
 
 import (
@@ -14,63 +15,66 @@
 	"monsoonswitch/storer"
 )
 
-// StoreFault is what is wrong with the stand-in of the platform.
+// StoreFault describes the faults of the platform's stand-in.
 type StoreFault struct {
-	// Outage refuses every call.
+	// Outage answers every call with status 503.
 	Outage bool `json:"outage"`
 	// Slow delays every call.
 	Slow time.Duration `json:"slow"`
-	// Lost is the share of writes that take effect without a reply.
+	// Lost is the share of writes, from 0 to 1, that take effect but whose reply
+	// is lost.
 	Lost float64 `json:"lost"`
-	// Lag delays changes of the list of backend servers.
+	// Lag delays changes to the list of backend servers.
 	Lag time.Duration `json:"lag"`
 }
 
-// StoreCalls counts the calls at the stand-in.
+// StoreCalls counts the calls that the stand-in received.
 type StoreCalls struct {
 	Reads   uint64 `json:"reads"`
 	Writes  uint64 `json:"writes"`
 	Watches uint64 `json:"watches"`
 	Lists   uint64 `json:"lists"`
-	// Waiting is the number of watches that wait now.
+	// Waiting is the number of calls that currently wait for changes.
 	Waiting int `json:"waiting"`
-	// Refused counts the calls during outages.
+	// Refused counts the calls refused during outages.
 	Refused uint64 `json:"refused"`
 }
 
-// Total returns the calls that were served.
+// Total returns the number of calls served.
 func (c StoreCalls) Total() uint64 { return c.Reads + c.Writes + c.Watches + c.Lists }
 
-// value is one value in the store.
+// value is one item in the store with the end of its lease.
 type value struct {
 	item storer.Item
-	// ends is when its lease ends; zero means never.
-	ends time.Time
+	// expires is the end of the lease; zero means never.
+	expires time.Time
 }
 
-// listed is the list of one service and when each change becomes visible.
-type listed struct {
+// backendList is the list of a service's backend servers; version is the version of
+// the whole listing at its last change.
+type backendList struct {
 	version  uint64
 	backends map[string]descriptor.Backend
 }
 
-// Store is the state of the stand-in of the platform.
+// Store is the platform's stand-in. It is safe for use by many goroutines.
 type Store struct {
 	mu       sync.Mutex
 	values   map[string]value
 	revision uint64
-	lists    map[string]listed
+	lists    map[string]backendList
 	version  uint64
-	changed  chan struct{}
-	fault    StoreFault
-	calls    StoreCalls
+	// changed is closed and replaced at each change.
+	changed chan struct{}
+	fault   StoreFault
+	calls   StoreCalls
 }
 
 // NewStore returns an empty store.
 func NewStore() *Store {
 	return &Store{
 		values:  make(map[string]value),
-		lists:   make(map[string]listed),
+		lists:   make(map[string]backendList),
 		changed: make(chan struct{}),
 	}
 }
@@ -80,40 +84,42 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.fault = f
-	s.wake()
+	s.notifyChange()
 }
 
-// Fault returns the faults.
+// Fault returns the current faults.
 func (s *Store) Fault() StoreFault {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.fault
 }
 
-// Calls returns the counted calls.
+// Calls returns a copy of the counters.
 func (s *Store) Calls() StoreCalls {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.calls
 }
 
-// wake ends all waits; the caller holds the lock.
-func (s *Store) wake() {
+// notifyChange wakes all waiting calls. The caller must hold the lock.
+func (s *Store) notifyChange() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// get returns a value that has not expired; the caller holds the lock.
+// get returns an item that has not expired. The caller must hold the lock.
 func (s *Store) get(key string, now time.Time) (storer.Item, bool) {
 	v, ok := s.values[key]
-	if ok && !v.ends.IsZero() && !now.Before(v.ends) {
+	if ok && !v.expires.IsZero() && !now.Before(v.expires) {
 		delete(s.values, key)
 		ok = false
 	}
 	return v.item, ok
 }
 
-// put writes a value by compare-and-swap and returns the item in the store.
+// put writes a value if the stored revision equals expect; 0 means that there is no
+// value. It returns the item now in the store and whether the write was accepted.
+// A lease of 0 never expires.
 func (s *Store) put(key string, data json.RawMessage, expect uint64, lease time.Duration, now time.Time) (storer.Item, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -124,14 +130,15 @@
 	s.revision++
 	v := value{item: storer.Item{Key: key, Revision: s.revision, At: now, Value: data}}
 	if lease > 0 {
-		v.ends = now.Add(lease)
+		v.expires = now.Add(lease)
 	}
 	s.values[key] = v
-	s.wake()
+	s.notifyChange()
 	return v.item, true
 }
 
-// page returns the values under a prefix that are newer than after.
+// page returns the items under a prefix whose revision is newer than after. The
+// caller must hold the lock.
 func (s *Store) page(prefix string, after uint64, now time.Time) storer.Page {
 	p := storer.Page{Revision: s.revision}
 	for key := range s.values {
@@ -146,25 +153,26 @@
 	return p
 }
 
-// Register adds or replaces a backend server in the list, after the lag.
+// Register adds a backend server to the list, or replaces it, after the lag.
 func (s *Store) Register(service string, b descriptor.Backend) {
-	s.later(func() {
+	s.afterLag(func() {
 		l := s.list(service)
 		l.backends[b.ID] = b
 		s.setList(service, l)
 	})
 }
 
-// Deregister takes a backend server off the list, after the lag.
+// Deregister removes a backend server from the list, after the lag.
 func (s *Store) Deregister(service, id string) {
-	s.later(func() {
+	s.afterLag(func() {
 		l := s.list(service)
 		delete(l.backends, id)
 		s.setList(service, l)
 	})
 }
 
-func (s *Store) later(change func()) {
+// afterLag applies a change to the lists after the lag, with the lock held.
+func (s *Store) afterLag(change func()) {
 	lag := s.Fault().Lag
 	apply := func() {
 		s.mu.Lock()
@@ -178,7 +186,8 @@
 	time.AfterFunc(lag, apply)
 }
 
-func (s *Store) list(service string) listed {
+// list returns the list of a service. The caller must hold the lock.
+func (s *Store) list(service string) backendList {
 	l, ok := s.lists[service]
 	if !ok {
 		l.backends = make(map[string]descriptor.Backend)
@@ -186,14 +195,16 @@
 	return l
 }
 
-func (s *Store) setList(service string, l listed) {
+// setList stores a list under a new version. The caller must hold the lock.
+func (s *Store) setList(service string, l backendList) {
 	s.version++
 	l.version = s.version
 	s.lists[service] = l
-	s.wake()
+	s.notifyChange()
 }
 
-// listing returns the services whose lists are newer than after.
+// listing returns the services whose lists are newer than after. The caller must
+// hold the lock.
 func (s *Store) listing(after uint64) storer.Listing {
 	result := storer.Listing{Version: s.version}
 	for name, l := range s.lists {
@@ -205,7 +216,7 @@
 	return result
 }
 
-func listingOf(name string, l listed) storer.ServiceListing {
+func listingOf(name string, l backendList) storer.ServiceListing {
 	result := storer.ServiceListing{Name: name, Version: l.version}
 	for _, b := range l.backends {
 		result.Backends = append(result.Backends, b)
@@ -214,13 +225,13 @@
 	return result
 }
 
-// drops tells whether the reply to a write is lost.
-func (s *Store) drops() bool {
+// losesReply draws whether the reply to a write is lost.
+func (s *Store) losesReply() bool {
 	share := s.Fault().Lost
 	return share > 0 && rand.Float64() < share
 }
 
-// Peek returns a value whatever faults are on.
+// Peek returns an item that has not expired, regardless of the current faults.
 func (s *Store) Peek(key string) (storer.Item, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/imitator/store_server.go
+++ b/imitator/store_server.go
@@ -13,17 +13,18 @@
 	"monsoonswitch/storer"
 )
 
-// Paths by which the stand-ins are controlled; the platform has none of them.
+// Paths of the stand-ins' control interface; the platform itself does not have them.
 const (
 	FaultPath    = "/-/fault"
 	CallsPath    = "/-/calls"
 	RegisterPath = "/-/register/"
 )
 
-// maxWait bounds a watch.
+// maxWait bounds how long a call may wait for changes.
 const maxWait = time.Minute
 
-// ServeHTTP serves the platform's protocol and the control of the stand-in.
+// ServeHTTP implements http.Handler. It serves the platform's protocol and the
+// control interface of the stand-in.
 func (s *Store) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	switch {
 	case r.URL.Path == FaultPath:
@@ -51,7 +52,8 @@
 	writeJSON(w, http.StatusOK, f)
 }
 
-// serveRegister takes PUT and DELETE of /-/register/SERVICE/ID.
+// serveRegister adds or removes a backend server by PUT or DELETE of
+// /-/register/SERVICE/ID.
 func (s *Store) serveRegister(w http.ResponseWriter, r *http.Request) {
 	service, id, ok := strings.Cut(strings.TrimPrefix(r.URL.Path, RegisterPath), "/")
 	if !ok || service == "" || id == "" {
@@ -73,6 +75,7 @@
 	writeJSON(w, http.StatusOK, b)
 }
 
+// servePlatform serves the platform's protocol with the current faults.
 func (s *Store) servePlatform(w http.ResponseWriter, r *http.Request) {
 	fault := s.Fault()
 	if fault.Slow > 0 {
@@ -138,7 +141,7 @@
 		return
 	}
 	if !json.Valid(data) {
-		writeProblem(w, http.StatusBadRequest, errors.New("value is no JSON"))
+		writeProblem(w, http.StatusBadRequest, errors.New("value is not valid JSON"))
 		return
 	}
 	expect, err := strconv.ParseUint(r.URL.Query().Get("expect"), 10, 64)
@@ -148,7 +151,7 @@
 	}
 	lease, _ := time.ParseDuration(r.URL.Query().Get("lease"))
 	item, ok := s.put(key, data, expect, lease, time.Now())
-	if ok && s.drops() {
+	if ok && s.losesReply() {
 		panic(http.ErrAbortHandler)
 	}
 	status := http.StatusOK
@@ -195,8 +198,9 @@
 	writeJSON(w, http.StatusOK, l)
 }
 
-// wait calls ready with the lock held until it returns true or the time that the
-// request gives is over. It returns false in an outage.
+// wait calls ready with the lock held, at first and after each change, until it
+// returns true, the wait parameter of the request has elapsed or the request is
+// cancelled. It returns false during an outage.
 func (s *Store) wait(r *http.Request, ready func() bool) bool {
 	limit, err := time.ParseDuration(r.URL.Query().Get("wait"))
 	if err != nil || limit < 0 || limit > maxWait {
@@ -229,6 +233,7 @@
 	_ = json.NewEncoder(w).Encode(v)
 }
 
+// writeProblem writes an error as JSON.
 func writeProblem(w http.ResponseWriter, status int, err error) {
 	writeJSON(w, status, struct {
 		Error string `json:"error"`
