--- a/caller/caller.go
+++ b/caller/caller.go
@@ -1,5 +1,5 @@
-// Package caller is a caller of the fleet: it asks which addresses to use, keeps
-// the answer a while, sends work there and tells what became of it.
+// Package caller is a client of the fleet. It asks an instance which addresses to use
+// for a service, caches the answer, sends requests there and reports their outcomes.
 package caller
 
 import (
@@ -24,86 +24,91 @@
 
 // Errors of a caller.
 var (
-	// ErrNoAddress means that no instance answered which addresses to use.
-	ErrNoAddress = eris.New("no instance answered")
-	// ErrBroken means that the answer broke off or never came.
-	ErrBroken = eris.New("answer broken")
+	// ErrNoAddress means that no instance returned the addresses to use.
+	ErrNoAddress = eris.New("no instance returned addresses")
+	// ErrBroken means that the response was truncated or never arrived.
+	ErrBroken = eris.New("response truncated or missing")
 )
 
 const (
 	clientName = "monsoonswitch-caller"
-	// addressTimeout bounds the question which addresses to use.
+	// addressTimeout bounds one request for addresses.
 	addressTimeout = 2 * time.Second
-	// maxTries bounds the addresses tried for one piece of work.
+	// maxTries bounds the number of times that a request is sent.
 	maxTries = 6
-	// redirectPause is how much longer each further redirection waits: the
-	// instances may be about to agree.
+	// redirectPause is added to the wait before each further redirection, since
+	// the instances may not have agreed yet on which of them serve a service.
 	redirectPause = 50 * time.Millisecond
 )
 
-// Work is one piece of work.
+// Work describes one request.
 type Work struct {
 	Service string
 	Method  string
-	// Path is the path with the query.
+	// Path is the URL path with the query.
 	Path string
-	// Keyed tells that the work carries an idempotency key. Unique makes it
-	// unique among the keys of this caller.
+	// Keyed reports whether the request carries an idempotency key. Unique
+	// distinguishes it from the other keys of this caller.
 	Keyed  bool
 	Unique string
-	// Repeatable tells that the work may be sent again after a broken answer.
+	// Repeatable reports whether the request may be sent again after its response
+	// was truncated or missing.
 	Repeatable bool
-	// Body returns the body anew for each try; nil means none.
+	// Body returns a new reader of the body for each try; nil means no body.
 	Body func() io.Reader
 	// Size is the length of the body in bytes.
 	Size int64
-	// Timeout is how long the caller waits; 0 means without end.
+	// Timeout is how long the caller waits in total; 0 means without limit.
 	Timeout time.Duration
-	// Name tells this caller from others at the same address.
+	// Name distinguishes this caller from others at the same address.
 	Name string
 }
 
-// Result is what became of a piece of work.
+// Result is the outcome of one request.
 type Result struct {
-	// Status is the HTTP status, or 0 if no answer came.
+	// Status is the HTTP status, or 0 if there was no response.
 	Status int
-	// Reason and Outcome are empty for answers of backend servers.
+	// Reason and Outcome are those of an instance's refusal; they are empty for
+	// responses of backend servers.
 	Reason  string
 	Outcome string
-	// Body is the whole answer.
+	// Body is the complete response body.
 	Body []byte
-	// Latency is the time from the first byte sent to the whole answer.
+	// Latency is the time from the call of Do to the complete response.
 	Latency time.Duration
-	// Tries is the number of times the work was sent.
+	// Tries is the number of times that the request was sent.
 	Tries int
-	// Key is the idempotency key used.
+	// Key is the idempotency key; it is empty if there is none.
 	Key string
 }
 
-// Refused tells whether an instance refused the work.
+// Refused reports whether an instance refused the request.
 func (r Result) Refused() bool { return r.Reason != "" }
 
-// answer is a kept address answer.
-type answer struct {
+// cachedAddresses is a cached answer to a request for addresses.
+type cachedAddresses struct {
 	addresses []forwarder.Address
-	until     time.Time
+	expires   time.Time
 }
 
-// Caller sends work. It is safe for use by many goroutines.
+// Caller sends requests. It is safe for use by many goroutines.
 type Caller struct {
 	domain  string
 	service httpc.Service
 
 	mu sync.Mutex
-	// entries lists the instances to ask: those given at first, and those that
-	// answers named since, newest last. All instances may be replaced while a
-	// caller lives.
+	// entries lists the addresses of known instances: the initial ones, and those
+	// in answers since, newest last. They are needed because all initial
+	// instances may be replaced during the lifetime of a caller.
 	entries []string
-	kept    map[string]answer
-	turn    int
+	// cache holds the addresses for each SERVICE/CALLER.
+	cache map[string]cachedAddresses
+	// queries counts the requests for addresses, to use the entries in turn.
+	queries int
 }
 
-// New returns a caller that asks the given instances, in a failure domain.
+// New returns a caller in a failure domain that asks the given instances for
+// addresses.
 func New(entries []string, domain string) *Caller {
 	listener.Configure()
 	breaker.NoBreakerFor(clientName)
@@ -112,48 +117,51 @@
 		entries: entries,
 		domain:  domain,
 		service: httpc.NewServiceWithClient(clientName, &http.Client{Transport: transport}),
-		kept:    make(map[string]answer),
+		cache:   make(map[string]cachedAddresses),
 	}
 }
 
-// Addresses returns the addresses to use for a service.
+// Addresses returns the addresses to use for a service, from the cache if possible.
+// It returns an error that wraps ErrNoAddress if no instance returns any.
 func (c *Caller) Addresses(ctx context.Context, service, name string) ([]forwarder.Address, error) {
 	c.mu.Lock()
-	a, ok := c.kept[service+"/"+name]
+	a, ok := c.cache[service+"/"+name]
 	c.mu.Unlock()
-	if ok && time.Now().Before(a.until) {
+	if ok && time.Now().Before(a.expires) {
 		return a.addresses, nil
 	}
-	return c.ask(ctx, service, name)
+	return c.query(ctx, service, name)
 }
 
-// ask asks the known instances in turn.
-func (c *Caller) ask(ctx context.Context, service, name string) ([]forwarder.Address, error) {
+// query asks the known instances in turn for the addresses to use for a service.
+func (c *Caller) query(ctx context.Context, service, name string) ([]forwarder.Address, error) {
 	for range maxEntries {
 		entry := c.nextEntry()
-		got, err := c.askOne(ctx, entry, service, name)
+		got, err := c.queryInstance(ctx, entry, service, name)
 		if err != nil || len(got.Addresses) == 0 {
 			continue
 		}
-		c.remember(got.Addresses)
-		c.keep(service, name, got.Addresses, time.Duration(got.Keep*float64(time.Second)))
+		c.addEntries(got.Addresses)
+		c.cacheAddresses(service, name, got.Addresses, time.Duration(got.Keep*float64(time.Second)))
 		return got.Addresses, nil
 	}
 	return nil, eris.Wrap(ErrNoAddress, service)
 }
 
-// maxEntries bounds the instances that a caller remembers.
+// maxEntries bounds the known instances of a caller.
 const maxEntries = 32
 
+// nextEntry returns the known instances in turn.
 func (c *Caller) nextEntry() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.turn++
-	return c.entries[c.turn%len(c.entries)]
+	c.queries++
+	return c.entries[c.queries%len(c.entries)]
 }
 
-// remember adds the instances of an answer to those to ask.
-func (c *Caller) remember(list []forwarder.Address) {
+// addEntries adds the instances of an answer to the known ones and drops the oldest
+// above maxEntries.
+func (c *Caller) addEntries(list []forwarder.Address) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, a := range list {
@@ -166,35 +174,38 @@
 	}
 }
 
-func (c *Caller) keep(service, name string, list []forwarder.Address, keep time.Duration) {
+// cacheAddresses caches the addresses for a service and a caller's name.
+func (c *Caller) cacheAddresses(service, name string, list []forwarder.Address, lifetime time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.kept[service+"/"+name] = answer{addresses: list, until: time.Now().Add(keep)}
+	c.cache[service+"/"+name] = cachedAddresses{addresses: list, expires: time.Now().Add(lifetime)}
 }
 
-func (c *Caller) askOne(ctx context.Context, entry, service, name string) (forwarder.AddressAnswer, error) {
+// queryInstance asks one instance for the addresses to use for a service.
+func (c *Caller) queryInstance(ctx context.Context, entry, service, name string) (forwarder.AddressAnswer, error) {
 	var got forwarder.AddressAnswer
 	ctx, cancel := context.WithTimeout(ctx, addressTimeout)
 	defer cancel()
 	url := "http://" + entry + forwarder.AddressPath + "?service=" + service + "&domain=" + c.domain + "&caller=" + name
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
-		return got, eris.Wrap(err, "build question")
+		return got, eris.Wrap(err, "build address request")
 	}
 	response, err := c.service.DoRequest(r)
 	if err != nil {
-		return got, eris.Wrap(err, "ask for addresses")
+		return got, eris.Wrap(err, "request addresses")
 	}
 	defer response.Body.Close()
 	if response.StatusCode != http.StatusOK {
 		return got, eris.Wrapf(ErrNoAddress, "status %d", response.StatusCode)
 	}
-	return got, eris.Wrap(json.NewDecoder(response.Body).Decode(&got), "read addresses")
+	return got, eris.Wrap(json.NewDecoder(response.Body).Decode(&got), "decode addresses")
 }
 
-// Do sends work until it is answered or refused for good. Work that was refused
-// without being run goes to the next address; work whose answer broke off is
-// sent again if it is repeatable or carries a key.
+// Do sends a request and returns its response or its refusal. A misdirected request
+// goes to the addresses that the instance returned. A request that failed without a
+// complete response goes to the next address if nothing was sent, if it is
+// repeatable or if it carries a key; otherwise Do returns an error.
 func (c *Caller) Do(ctx context.Context, w Work) (Result, error) {
 	if w.Timeout > 0 {
 		var cancel context.CancelFunc
@@ -226,7 +237,7 @@
 		if ctx.Err() != nil || !c.mayResend(w, err) {
 			return result, err
 		}
-		c.forget(w)
+		c.dropCached(w)
 	}
 	if err == nil {
 		return result, nil
@@ -234,6 +245,7 @@
 	return result, err
 }
 
+// pause waits for d or until ctx is done.
 func pause(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -243,7 +255,8 @@
 	}
 }
 
-// redirected returns the addresses that an instance named instead of itself.
+// redirected returns the addresses in a misdirected response, or before if there are
+// none.
 func (c *Caller) redirected(w Work, result Result, before []forwarder.Address) []forwarder.Address {
 	var body struct {
 		Addresses []forwarder.Address `json:"addresses"`
@@ -251,25 +264,27 @@
 	if json.Unmarshal(result.Body, &body) != nil || len(body.Addresses) == 0 {
 		return before
 	}
-	c.remember(body.Addresses)
-	c.keep(w.Service, w.Name, body.Addresses, time.Second)
+	c.addEntries(body.Addresses)
+	c.cacheAddresses(w.Service, w.Name, body.Addresses, time.Second)
 	return body.Addresses
 }
 
-func (c *Caller) forget(w Work) {
+// dropCached removes the cached addresses for the service of a request.
+func (c *Caller) dropCached(w Work) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	delete(c.kept, w.Service+"/"+w.Name)
+	delete(c.cache, w.Service+"/"+w.Name)
 }
 
-// errDial marks a try in which nothing was sent.
-var errDial = eris.New("no connection")
+// errDial means that no connection was established, so that nothing was sent.
+var errDial = eris.New("connection failed")
 
+// mayResend reports whether a request may be sent again after err.
 func (c *Caller) mayResend(w Work, err error) bool {
 	return errors.Is(err, errDial) || w.Repeatable || w.Keyed
 }
 
-// try sends work to one address.
+// try sends a request to one address and fills in the response.
 func (c *Caller) try(ctx context.Context, address string, w Work, result *Result) error {
 	var body io.Reader
 	if w.Body != nil {
@@ -285,7 +300,8 @@
 		r.Header.Set("Caller", w.Name)
 	}
 	if result.Key != "" {
-		// Spelled so that net/http does not send the request again by itself.
+		// The key is in lower case because net/http repeats a request with the
+		// canonical Idempotency-Key header by itself.
 		r.Header["idempotency-key"] = []string{result.Key}
 	}
 	if w.Timeout > 0 {
@@ -307,6 +323,8 @@
 	return nil
 }
 
+// sendError returns errDial if the connection could not be established, and
+// ErrBroken otherwise.
 func sendError(err error) error {
 	if strings.Contains(err.Error(), "dial tcp") {
 		return eris.Wrapf(errDial, "%v", err)
