--- a/plotter/plotter.go
+++ b/plotter/plotter.go
@@ -1,4 +1,4 @@
-// Package plotter draws the plots of reports as SVG.
+// Package plotter draws plots for HTML pages as SVG.
 package plotter
 
 import (
@@ -18,7 +18,7 @@
 	height = 8 * vg.Centimeter
 )
 
-// colors tell lines apart.
+// colors are the colors of the lines, reused from the start if there are more lines.
 var colors = []color.Color{
 	color.RGBA{R: 31, G: 119, B: 180, A: 255},
 	color.RGBA{R: 214, G: 39, B: 40, A: 255},
@@ -28,14 +28,15 @@
 	color.RGBA{R: 23, G: 190, B: 207, A: 255},
 }
 
-// Line is one named line of a plot.
+// Line is one line of a plot; Name is its legend.
 type Line struct {
 	Name string
 	// X and Y have equal lengths.
 	X, Y []float64
 }
 
-// Lines draws lines over each other.
+// Lines draws lines in one plot with axis labels x and y. It returns an error if a
+// line has no points or invalid ones.
 func Lines(title, x, y string, lines []Line) (template.HTML, error) {
 	p := plot.New()
 	p.Title.Text = title
@@ -60,7 +61,8 @@
 	return svg(p)
 }
 
-// Bars draws one bar for each name.
+// Bars draws a bar chart with one bar for each name. It returns an error if values is
+// empty or has invalid numbers.
 func Bars(title, y string, names []string, values []float64) (template.HTML, error) {
 	p := plot.New()
 	p.Title.Text = title
@@ -76,7 +78,7 @@
 	return svg(p)
 }
 
-// svg returns the plot as an element of an HTML page.
+// svg renders a plot as an svg element for an HTML page.
 func svg(p *plot.Plot) (template.HTML, error) {
 	w, err := p.WriterTo(width, height, "svg")
 	if err != nil {
@@ -90,6 +92,6 @@
 	if i := bytes.Index(data, []byte("<svg")); i >= 0 {
 		data = data[i:]
 	}
-	// The plot library escapes all text itself.
+	// The plot library escapes all text.
 	return template.HTML(data), nil
 }
