--- a/assembler/assembler.go
+++ b/assembler/assembler.go
@@ -1,5 +1,5 @@
-// Package assembler runs a whole fleet with its surroundings in one process, for
-// the demo and for experiments.
+// Package assembler runs a complete fleet in one process, with stand-ins for the
+// platform and the backend servers. The demo, experiments and tests use it.
 package assembler
 
 import (
@@ -22,16 +22,19 @@
 	"monsoonswitch/storer"
 )
 
-// ErrStart reports a fleet that did not become ready.
+// ErrStart reports a fleet that did not become ready, or an instance without a
+// proxy.
 var ErrStart = eris.New("fleet did not start")
 
 const (
+	// loopback is a loopback address with a free port.
 	loopback = "127.0.0.1:0"
-	// fleetKey proves membership among the instances of one process.
+	// fleetKey authenticates the instances to each other.
 	fleetKey = "assembled-fleet-key"
-	// readyWait bounds the start of a fleet.
-	readyWait = 20 * time.Second
-	readyPoll = 20 * time.Millisecond
+	// startTimeout bounds the wait until all instances of a fleet are ready.
+	startTimeout = 20 * time.Second
+	// readyPollInterval is the time between two checks.
+	readyPollInterval = 20 * time.Millisecond
 )
 
 // Group describes the backend servers of one service.
@@ -47,19 +50,21 @@
 	Instances int
 	Groups    []Group
 	Services  []declarer.Service
-	// Policy is one of those of configurer.
+	// Policy is one of the policies of package configurer.
 	Policy string
-	// Proxied puts a proxy before the inner listener of each instance, so that
-	// links can be cut in one direction.
+	// Proxied puts a proxy in front of the inner listener of each instance, so
+	// that Cut can block one direction of the links.
 	Proxied bool
-	// Keep is how long callers keep address answers.
+	// Keep is how long callers cache address answers.
 	Keep time.Duration
-	// Log receives the log events; nil drops them.
-	Log   io.Writer
+	// Log receives the log events; nil discards them.
+	Log io.Writer
+	// Level is the log level; empty means info.
 	Level string
 }
 
-// Backend is a backend server of the fleet.
+// Backend is a backend server of the fleet. Listed is its entry in the platform's
+// list, Stand its stand-in.
 type Backend struct {
 	Service string
 	Listed  descriptor.Backend
@@ -67,28 +72,31 @@
 	process *imitator.Process
 }
 
-// Fleet is a running fleet.
+// Fleet is a running fleet. Store is the platform's stand-in and Client a client of
+// it.
 type Fleet struct {
-	options  Options
-	Store    *imitator.Store
-	store    *imitator.Process
-	Client   *storer.Client
-	Backends []*Backend
+	options      Options
+	Store        *imitator.Store
+	storeProcess *imitator.Process
+	Client       *storer.Client
+	Backends     []*Backend
 
 	mu      sync.Mutex
 	servers []*server.Server
 	proxies []*toxiproxy.Proxy
+	// started is the number of instances started so far.
 	started int
 }
 
-// New starts a fleet and waits until every instance is ready.
+// New starts a fleet and waits until every instance is ready. It returns an error if
+// a process does not start or the fleet is not ready in time.
 func New(o Options) (*Fleet, error) {
 	f := &Fleet{options: o, Store: imitator.NewStore()}
 	process, err := imitator.ServeStore(f.Store, loopback)
 	if err != nil {
 		return nil, err
 	}
-	f.store = process
+	f.storeProcess = process
 	f.Client = storer.NewClient(process.Address())
 	if err := f.startBackends(); err != nil {
 		return nil, err
@@ -149,7 +157,7 @@
 	return nil
 }
 
-// Start adds an instance to the fleet.
+// Start starts a further instance. It returns an error if the instance cannot listen.
 func (f *Fleet) Start() (*server.Server, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -177,7 +185,8 @@
 	return s, nil
 }
 
-// addProxy puts a proxy before the inner listener of a new instance.
+// addProxy starts a proxy for the inner listener of a new instance and lets the
+// instance advertise it. It does nothing if the fleet is not proxied.
 func (f *Fleet) addProxy(settings *configurer.Settings) error {
 	if !f.options.Proxied {
 		return nil
@@ -191,9 +200,10 @@
 	return nil
 }
 
-// maxSeeds is the number of seeds of each instance.
+// maxSeeds bounds the seed addresses in the settings of an instance.
 const maxSeeds = 3
 
+// settings returns the settings of the i-th instance. The caller must hold the lock.
 func (f *Fleet) settings(i int) configurer.Settings {
 	var s configurer.Settings
 	s.Instance.Name = fmt.Sprintf("entry-%d", i)
@@ -209,7 +219,7 @@
 		}
 	}
 	s.Operators.Listen = loopback
-	s.Platform.Address = f.store.Address()
+	s.Platform.Address = f.storeProcess.Address()
 	s.Platform.Patience = time.Second
 	s.Log.Level = "info"
 	if f.options.Level != "" {
@@ -224,18 +234,20 @@
 	return s
 }
 
-// waitReady waits until every instance is ready and knows all others.
+// waitReady waits until every instance is ready and knows all others as ready.
 func (f *Fleet) waitReady() error {
-	deadline := time.Now().Add(readyWait)
+	deadline := time.Now().Add(startTimeout)
 	for time.Now().Before(deadline) {
 		if f.ready() {
 			return nil
 		}
-		time.Sleep(readyPoll)
+		time.Sleep(readyPollInterval)
 	}
-	return eris.Wrapf(ErrStart, "after %v", readyWait)
+	return eris.Wrapf(ErrStart, "not ready after %v", startTimeout)
 }
 
+// ready reports whether every instance is ready, knows all others as ready and has
+// two documents for each service.
 func (f *Fleet) ready() bool {
 	for _, s := range f.Servers() {
 		d, ok := s.Dump()
@@ -255,14 +267,14 @@
 	return true
 }
 
-// Servers returns the instances that run.
+// Servers returns the running instances.
 func (f *Fleet) Servers() []*server.Server {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return append([]*server.Server(nil), f.servers...)
 }
 
-// Entries returns the addresses of the instances for callers.
+// Entries returns the instances' addresses for callers.
 func (f *Fleet) Entries() []string {
 	var result []string
 	for _, s := range f.Servers() {
@@ -271,7 +283,8 @@
 	return result
 }
 
-// Replace shuts the oldest instance down and starts a new one in its place.
+// Replace starts a new instance and shuts the oldest one down gracefully. It returns
+// an error if the new instance does not start.
 func (f *Fleet) Replace() error {
 	f.mu.Lock()
 	oldest := f.servers[0]
@@ -280,11 +293,12 @@
 		return err
 	}
 	oldest.Shutdown()
-	f.drop(oldest)
+	f.remove(oldest)
 	return nil
 }
 
-func (f *Fleet) drop(s *server.Server) {
+// remove removes an instance from the list of running ones.
+func (f *Fleet) remove(s *server.Server) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for i := range f.servers {
@@ -295,7 +309,7 @@
 	}
 }
 
-// Shutdown shuts all instances down in order.
+// Shutdown shuts all instances down gracefully and concurrently, and waits for them.
 func (f *Fleet) Shutdown() {
 	var group sync.WaitGroup
 	for _, s := range f.Servers() {
@@ -311,7 +325,7 @@
 	f.mu.Unlock()
 }
 
-// Close ends everything at once.
+// Close stops the instances, stand-ins and proxies immediately.
 func (f *Fleet) Close() {
 	for _, s := range f.Servers() {
 		s.Close()
@@ -322,5 +336,5 @@
 	for _, p := range f.proxies {
 		p.Stop()
 	}
-	f.store.Close()
+	f.storeProcess.Close()
 }
--- a/assembler/proxy.go
+++ b/assembler/proxy.go
@@ -9,44 +9,46 @@
 	"github.com/rs/zerolog"
 )
 
-// Direction is a direction of the links that an instance accepted.
+// Direction is a direction of the links that an instance accepted; its value is the
+// name of the proxy's stream.
 type Direction string
 
 // Directions of links.
 const (
-	// Inward is from the instances that dialed to the one that accepted.
+	// Inward is from the dialing instances to the one that accepted.
 	Inward Direction = "upstream"
-	// Outward is from the one that accepted.
+	// Outward is from the one that accepted to the dialing instances.
 	Outward Direction = "downstream"
 )
 
-// newProxy starts a proxy before the inner listener of an instance.
+// newProxy starts a proxy for the inner listener of an instance. Its upstream is set
+// by forward, since the instance's address is not known before it listens.
 func newProxy(name string) (*toxiproxy.Proxy, error) {
 	server := toxiproxy.NewServer(toxiproxy.NewMetricsContainer(nil), zerolog.Nop())
 	p := toxiproxy.NewProxy(server, name, loopback, loopback)
 	return p, eris.Wrap(p.Start(), "start proxy")
 }
 
-// forward sets where a proxy forwards to.
+// forward sets the upstream address of a proxy.
 func forward(p *toxiproxy.Proxy, address string) {
 	p.Lock()
 	defer p.Unlock()
 	p.Upstream = address
 }
 
-// Cut stops one direction of the links that the i-th instance accepted, while
-// the other one goes on.
+// Cut blocks one direction of the links that the i-th instance accepted, while the
+// other direction keeps working. It returns an error if the fleet is not proxied.
 func (f *Fleet) Cut(i int, d Direction) error {
 	p, ok := f.proxyAt(i)
 	if !ok {
-		return eris.Wrap(ErrStart, "no proxy before that instance")
+		return eris.Wrap(ErrStart, "no proxy in front of that instance")
 	}
 	toxic := `{"name":"cut","type":"timeout","stream":"` + string(d) + `","attributes":{"timeout":0}}`
 	_, err := p.Toxics.AddToxicJson(strings.NewReader(toxic))
 	return eris.Wrap(err, "cut link")
 }
 
-// Heal ends what Cut did to the i-th instance.
+// Heal restores the links of the i-th instance after Cut.
 func (f *Fleet) Heal(i int) {
 	if p, ok := f.proxyAt(i); ok {
 		p.Toxics.ResetToxics(context.Background())
