--- a/commander/apply.go
+++ b/commander/apply.go
@@ -15,19 +15,20 @@
 	"monsoonswitch/storer"
 )
 
-// applyCommand puts declarations in force.
+// applyCommand writes declarations to the platform's store.
 type applyCommand struct {
 	store string
 	path  string
-	// expect maps services to the revisions that the operator saw.
+	// expect maps each service to the revision that the operator expects in the
+	// store.
 	expect map[string]string
 }
 
 func (c *applyCommand) register(app *kingpin.Application) *kingpin.CmdClause {
 	c.expect = make(map[string]string)
-	clause := app.Command("apply", "Put declarations into the platform's store; every file is checked before any is written.")
+	clause := app.Command("apply", "Write declarations to the platform's store; every file is checked before any is written.")
 	clause.Flag("store", "Address of the platform's store.").Required().StringVar(&c.store)
-	clause.Flag("expect", "SERVICE=REVISION: write only over this revision, as diff showed it; 0 means none.").StringMapVar(&c.expect)
+	clause.Flag("expect", "SERVICE=REVISION: write only if the store holds this revision, as shown by diff; 0 means that there is none.").StringMapVar(&c.expect)
 	clause.Arg("path", "A declaration file, or a directory of them.").Required().StringVar(&c.path)
 	return clause
 }
@@ -45,7 +46,7 @@
 		return err
 	}
 	for i := range changes {
-		if err := changes[i].expectRevision(c.expect); err != nil {
+		if err := changes[i].checkRevision(c.expect); err != nil {
 			return err
 		}
 	}
@@ -58,16 +59,18 @@
 	return first
 }
 
-// change is a declaration and what the store holds in its place.
+// change is a declaration together with the stored one of the same service.
 type change struct {
 	service declarer.Service
-	// stored is the declaration in the store; known tells whether there is one.
+	// stored is the declaration in the store and revision its revision; exists
+	// reports whether there is one.
 	stored   declarer.Service
-	known    bool
+	exists   bool
 	revision uint64
 }
 
-// compare reads what the store holds of the given services.
+// compare reads the stored declarations of the given services. It returns an error if
+// the store is unavailable or a stored declaration can't be decoded.
 func compare(ctx context.Context, client *storer.Client, services []declarer.Service) ([]change, error) {
 	changes := make([]change, 0, len(services))
 	for _, s := range services {
@@ -78,7 +81,7 @@
 		case err != nil:
 			return nil, err
 		default:
-			ch.known = true
+			ch.exists = true
 			ch.revision = item.Revision
 			if err := json.Unmarshal(item.Value, &ch.stored); err != nil {
 				return nil, eris.Wrapf(storer.ErrGarbage, "%s: %v", item.Key, err)
@@ -89,8 +92,9 @@
 	return changes, nil
 }
 
-// expectRevision checks the revision that the operator saw.
-func (ch change) expectRevision(expect map[string]string) error {
+// checkRevision returns an error that wraps storer.ErrConflict if the stored revision
+// is not the one that the operator expects.
+func (ch change) checkRevision(expect map[string]string) error {
 	want, ok := expect[ch.service.Name]
 	if !ok || want == fmt.Sprint(ch.revision) {
 		return nil
@@ -98,9 +102,10 @@
 	return eris.Wrapf(storer.ErrConflict, "%s: revision is %d, not %s; see diff", ch.service.Name, ch.revision, want)
 }
 
-// same tells whether the store holds the declaration already.
-func (ch change) same() bool {
-	if !ch.known {
+// unchanged reports whether the store already holds the declaration, regardless of
+// the identifier of the change.
+func (ch change) unchanged() bool {
+	if !ch.exists {
 		return false
 	}
 	before, errBefore := json.Marshal(ch.stored.WithChange(""))
@@ -108,10 +113,11 @@
 	return errBefore == nil && errAfter == nil && string(before) == string(after)
 }
 
-// apply writes one declaration and prints how that ended.
+// apply writes one declaration and prints the outcome. It returns an error unless the
+// declaration was accepted or is unchanged.
 func (ch change) apply(ctx context.Context, client *storer.Client, out io.Writer) error {
 	name := ch.service.Name
-	if ch.same() {
+	if ch.unchanged() {
 		fmt.Fprintf(out, "%s: unchanged at revision %d\n", name, ch.revision)
 		return nil
 	}
@@ -125,9 +131,9 @@
 		fmt.Fprintf(out, "%s: accepted as revision %d\n", name, item.Revision)
 		return nil
 	case errors.Is(err, storer.ErrConflict):
-		fmt.Fprintf(out, "%s: rejected: revision %d came in between; nothing was written\n", name, item.Revision)
+		fmt.Fprintf(out, "%s: rejected: revision %d was written in the meantime; nothing was written\n", name, item.Revision)
 	case errors.Is(err, storer.ErrUnknown):
-		fmt.Fprintf(out, "%s: unknown: the store did not say whether the change took effect; run diff\n", name)
+		fmt.Fprintf(out, "%s: unknown: the store did not confirm whether the change took effect; run diff\n", name)
 	default:
 		fmt.Fprintf(out, "%s: rejected: %v; nothing was written\n", name, err)
 	}
--- a/commander/capacity.go
+++ b/commander/capacity.go
@@ -12,17 +12,18 @@
 	"monsoonswitch/estimator"
 )
 
-// pageMode is the mode of a written page.
-const pageMode = 0o644
+// pageFileMode is the file mode of the written page.
+const pageFileMode = 0o644
 
-// capacityCommand measures the slopes of the control work.
+// capacityCommand measures how the cost of control work grows with the fleet and
+// writes a page with the computed capacity of each role.
 type capacityCommand struct {
 	path  string
 	quick bool
 }
 
 func (c *capacityCommand) register(app *kingpin.Application) *kingpin.CmdClause {
-	clause := app.Command("capacity", "Measure how the control work grows and compute each role at the target size.")
+	clause := app.Command("capacity", "Measure how the control work grows with the fleet and compute the cost of each role at the target size.")
 	clause.Flag("write", "Write the page to this file.").StringVar(&c.path)
 	clause.Flag("quick", "Measure fewer and smaller sizes.").BoolVar(&c.quick)
 	return clause
@@ -41,5 +42,5 @@
 		_, err := out.Write(text.Bytes())
 		return eris.Wrap(err, "write page")
 	}
-	return eris.Wrap(os.WriteFile(c.path, text.Bytes(), pageMode), "write page")
+	return eris.Wrap(os.WriteFile(c.path, text.Bytes(), pageFileMode), "write page")
 }
--- a/commander/check.go
+++ b/commander/check.go
@@ -14,7 +14,7 @@
 	"monsoonswitch/declarer"
 )
 
-// checkCommand checks settings and declarations without running anything.
+// checkCommand validates settings and declarations without running anything.
 type checkCommand struct{ files []string }
 
 func (c *checkCommand) register(app *kingpin.Application) *kingpin.CmdClause {
@@ -39,6 +39,8 @@
 	return first
 }
 
+// checkFile validates one file or directory and returns whether it holds settings or
+// declarations.
 func checkFile(path string) (string, error) {
 	settings, err := isSettings(path)
 	if err != nil {
@@ -52,7 +54,8 @@
 	return "declarations", err
 }
 
-// isSettings tells settings from declarations by their sections.
+// isSettings reports whether a file holds settings. A directory, or a file with a
+// service section, holds declarations.
 func isSettings(path string) (bool, error) {
 	info, err := os.Stat(path)
 	if err != nil {
--- a/commander/commander.go
+++ b/commander/commander.go
@@ -1,4 +1,4 @@
-// Package commander is the command line: one file for each subcommand.
+// Package commander implements the command line, with one file for each subcommand.
 package commander
 
 import (
@@ -19,28 +19,29 @@
 
 // Exit codes.
 const (
-	// ExitOK means that the command did what was asked.
+	// ExitOK means that the command succeeded.
 	ExitOK = 0
-	// ExitFailed means that it did not.
+	// ExitFailed means that the command failed for any reason not listed below.
 	ExitFailed = 1
 	// ExitInvalid means that arguments, settings or declarations are invalid.
 	ExitInvalid = 2
-	// ExitConflict means that somebody else changed the same declaration.
+	// ExitConflict means that the same declaration was changed concurrently.
 	ExitConflict = 3
-	// ExitUnknown means that nobody can tell whether a change took effect.
+	// ExitUnknown means that it is unknown whether a change took effect.
 	ExitUnknown = 4
-	// ExitUnavailable means that the platform or an instance did not answer.
+	// ExitUnavailable means that the platform or an instance did not respond.
 	ExitUnavailable = 5
 )
 
-// callTimeout bounds the calls of commands that do not run for long.
+// callTimeout bounds the calls of short-running commands.
 const callTimeout = 30 * time.Second
 
 // command is one subcommand.
 type command interface {
 	// register adds the subcommand and its flags.
 	register(*kingpin.Application) *kingpin.CmdClause
-	// run does its work.
+	// run executes the subcommand. It prints results to out, and progress and
+	// errors to log.
 	run(ctx context.Context, out, log io.Writer) error
 }
 
@@ -64,20 +65,20 @@
 	}
 }
 
-// Run runs the subcommand that the arguments name and returns the exit code.
+// Run executes the subcommand named by the arguments and returns the exit code.
 func Run(args []string, out, log io.Writer) int {
 	listener.Configure()
 	app := kingpin.New("monsoonswitch", "A proxy fleet for services whose backend servers fail grayly.")
 	app.UsageWriter(out)
 	app.ErrorWriter(log)
-	done := false
-	app.Terminate(func(int) { done = true })
+	helpShown := false
+	app.Terminate(func(int) { helpShown = true })
 	clauses := make(map[string]command)
 	for _, c := range commands() {
 		clauses[c.register(app).FullCommand()] = c
 	}
 	name, err := app.Parse(args)
-	if done {
+	if helpShown {
 		return ExitOK
 	}
 	if err != nil {
@@ -91,7 +92,7 @@
 	return ExitOK
 }
 
-// exitCode returns the exit code of an error.
+// exitCode returns the exit code for an error.
 func exitCode(err error) int {
 	codes := []struct {
 		err  error
--- a/commander/demo.go
+++ b/commander/demo.go
@@ -10,14 +10,14 @@
 	"monsoonswitch/loader"
 )
 
-// errPromise reports a run in which a promise was broken.
-var errPromise = eris.New("a promise was broken")
+// errViolation reports a scenario in which the fleet violated a guarantee.
+var errViolation = eris.New("a guarantee was violated")
 
-// demoCommand shows the whole path in one process.
+// demoCommand runs the embedded demo scenario in one process.
 type demoCommand struct{}
 
 func (c *demoCommand) register(app *kingpin.Application) *kingpin.CmdClause {
-	return app.Command("demo", "Run a small fleet with a gray backend server for ten seconds, on loopback in this process.")
+	return app.Command("demo", "Run a small fleet with a gray backend server for ten seconds, in this process and on the loopback interface.")
 }
 
 func (c *demoCommand) run(ctx context.Context, out, _ io.Writer) error {
@@ -32,7 +32,8 @@
 	return writeResult(result, "text", out)
 }
 
-// writeResult writes the result of a scenario; a broken promise is an error.
+// writeResult writes the result of a scenario in a format. It returns errViolation if
+// a guarantee was violated.
 func writeResult(result loader.Result, format string, out io.Writer) error {
 	write := result.Text
 	switch format {
@@ -45,7 +46,7 @@
 		return err
 	}
 	if !result.Held() {
-		return eris.Wrap(errPromise, result.Scenario)
+		return eris.Wrap(errViolation, result.Scenario)
 	}
 	return nil
 }
--- a/commander/diff.go
+++ b/commander/diff.go
@@ -14,7 +14,7 @@
 	"monsoonswitch/storer"
 )
 
-// diffCommand shows what apply would change.
+// diffCommand prints the changes that apply would make.
 type diffCommand struct{ store, path string }
 
 func (c *diffCommand) register(app *kingpin.Application) *kingpin.CmdClause {
@@ -43,9 +43,9 @@
 	return nil
 }
 
-// print shows the lines that differ.
+// print prints the removed and added lines of a change.
 func (ch change) print(out io.Writer) error {
-	if ch.same() {
+	if ch.unchanged() {
 		fmt.Fprintf(out, "%s: unchanged at revision %d\n", ch.service.Name, ch.revision)
 		return nil
 	}
@@ -54,22 +54,22 @@
 		return err
 	}
 	var before []string
-	if ch.known {
+	if ch.exists {
 		if before, err = lines(ch.stored); err != nil {
 			return err
 		}
 	}
 	fmt.Fprintf(out, "%s: changes revision %d\n", ch.service.Name, ch.revision)
-	for _, l := range without(before, after) {
+	for _, l := range difference(before, after) {
 		fmt.Fprintf(out, "- %s\n", l)
 	}
-	for _, l := range without(after, before) {
+	for _, l := range difference(after, before) {
 		fmt.Fprintf(out, "+ %s\n", l)
 	}
 	return nil
 }
 
-// lines describes each part of a declaration on one line.
+// lines formats each part of a declaration as one line.
 func lines(s declarer.Service) ([]string, error) {
 	result := []string{fmt.Sprintf("state %s, floor %d or %.0f%%", s.State, s.Floor, 100*s.Share)}
 	for _, c := range s.Classes {
@@ -86,8 +86,8 @@
 	return result, nil
 }
 
-// without returns the lines of a that are not in b.
-func without(a, b []string) []string {
+// difference returns the lines of a that are not in b.
+func difference(a, b []string) []string {
 	known := "\n" + strings.Join(b, "\n") + "\n"
 	var result []string
 	for _, l := range a {
--- a/commander/dump.go
+++ b/commander/dump.go
@@ -15,14 +15,14 @@
 	"monsoonswitch/operator"
 )
 
-// dumpCommand shows the state of one process.
+// dumpCommand prints the state of one instance.
 type dumpCommand struct {
 	address string
 	json    bool
 }
 
 func (c *dumpCommand) register(app *kingpin.Application) *kingpin.CmdClause {
-	clause := app.Command("dump", "Show the state of an instance at one instant.")
+	clause := app.Command("dump", "Show the current state of an instance.")
 	clause.Flag("json", "Print JSON.").BoolVar(&c.json)
 	clause.Arg("address", "Address of the operators' listener.").Required().StringVar(&c.address)
 	return clause
@@ -52,6 +52,7 @@
 	return eris.Wrap(w.Flush(), "write dump")
 }
 
+// printInstance prints the state of the instance itself, its links and its members.
 func printInstance(w io.Writer, d descriptor.Dump) {
 	fmt.Fprintf(w, "instance\t%s\tincarnation %d\tdomain %s\tat %s\n",
 		d.Instance.ID, d.Instance.Incarnation, d.Instance.Domain, d.At.Format(time.RFC3339Nano))
@@ -63,6 +64,8 @@
 	}
 }
 
+// printService prints the state of one service with its classes, backend servers and
+// ejections.
 func printService(w io.Writer, s descriptor.ServiceDump) {
 	fmt.Fprintf(w, "service\t%s\t%s\trevision %d\tserving %v\n", s.Name, s.State, s.Revision, s.Serving)
 	fmt.Fprintf(w, "floor\t%d of %d\trefused %q\tretry budget %.1f\tsuspected requests %d\n", s.Floor, s.Live, s.Refused, s.Budget, s.Suspect)
--- a/commander/explain.go
+++ b/commander/explain.go
@@ -15,14 +15,14 @@
 	"monsoonswitch/explainer"
 )
 
-// explainCommand tells the story of one request from logs.
+// explainCommand prints the events of one request from logs.
 type explainCommand struct {
 	id    string
 	files []string
 }
 
 func (c *explainCommand) register(app *kingpin.Application) *kingpin.CmdClause {
-	clause := app.Command("explain", "Tell the story of one request from the logs of instances in JSON.")
+	clause := app.Command("explain", "Show what happened to one request, from the JSON logs of instances.")
 	clause.Arg("id", "The caller's identifier of the request.").Required().StringVar(&c.id)
 	clause.Arg("file", "Log files; - is standard input, the default.").Default("-").StringsVar(&c.files)
 	return clause
@@ -41,11 +41,12 @@
 	}
 	sort.Strings(names)
 	for _, name := range names {
-		fmt.Fprintf(log, "%s: %d lines are cut or foreign and were passed over\n", name, l.Skipped[name])
+		fmt.Fprintf(log, "%s: skipped %d lines that are truncated or not log events\n", name, l.Skipped[name])
 	}
 	return l.Explain(out, c.id)
 }
 
+// readLog reads a log file, or standard input if name is -.
 func readLog(l *explainer.Log, name string) error {
 	if name == "-" {
 		return l.Read("standard input", os.Stdin)
--- a/commander/load.go
+++ b/commander/load.go
@@ -10,21 +10,21 @@
 	"monsoonswitch/loader"
 )
 
-// loadCommand runs an experiment.
+// loadCommand runs a load experiment.
 type loadCommand struct {
 	scenario, policy, format string
 	remote                   loader.Remote
 }
 
 func (c *loadCommand) register(app *kingpin.Application) *kingpin.CmdClause {
-	clause := app.Command("load", "Run an experiment: callers, faults and a fleet, with every promise checked.")
-	clause.Flag("policy", "Policies of the instances instead of those of the scenario.").
+	clause := app.Command("load", "Run a load experiment with callers, faults and a fleet, and check every guarantee.")
+	clause.Flag("policy", "Policies of the instances; overrides those of the scenario.").
 		EnumVar(&c.policy, configurer.PolicyStandard, configurer.PolicyRoundRobin, configurer.PolicyConsecutive)
 	clause.Flag("format", "text, json or html.").Default("text").EnumVar(&c.format, "text", "json", "html")
-	clause.Flag("store", "Address of the stand-in store of a fleet of other processes; without it the fleet runs in this process.").StringVar(&c.remote.Store)
+	clause.Flag("store", "Address of the stand-in store of a fleet that runs in other processes; without it the fleet runs in this process.").StringVar(&c.remote.Store)
 	clause.Flag("entry", "Address of an instance of that fleet for callers; may be repeated.").StringsVar(&c.remote.Entries)
 	clause.Flag("operators", "Address of the operators' listener of an instance of that fleet; may be repeated.").StringsVar(&c.remote.Operators)
-	clause.Arg("scenario", "Scenario file, or the name of a scenario that comes with the program.").Required().StringVar(&c.scenario)
+	clause.Arg("scenario", "Scenario file, or the name of an embedded scenario.").Required().StringVar(&c.scenario)
 	return clause
 }
 
--- a/commander/report.go
+++ b/commander/report.go
@@ -15,7 +15,7 @@
 type reportCommand struct{ store, service, format string }
 
 func (c *reportCommand) register(app *kingpin.Application) *kingpin.CmdClause {
-	clause := app.Command("report", "Print what was served, what was refused and why, for an open, closing or closed service.")
+	clause := app.Command("report", "Print the served and refused requests of an open, closing or closed service, with the reasons of refusals.")
 	clause.Flag("store", "Address of the platform's store.").Required().StringVar(&c.store)
 	clause.Flag("format", "text, json or html.").Default("text").EnumVar(&c.format, "text", "json", "html")
 	clause.Arg("service", "Name of the service.").Required().StringVar(&c.service)
--- a/commander/serve.go
+++ b/commander/serve.go
@@ -14,12 +14,12 @@
 	"monsoonswitch/stopper"
 )
 
-// serveCommand runs an entry instance.
+// serveCommand runs an instance until a shutdown is requested.
 type serveCommand struct{ settings string }
 
 func (c *serveCommand) register(app *kingpin.Application) *kingpin.CmdClause {
-	clause := app.Command("serve", "Run an entry instance until SIGTERM; it then finishes every request in flight.")
-	clause.Flag("settings", "Settings file in INI form.").Short('s').Required().StringVar(&c.settings)
+	clause := app.Command("serve", "Run an instance until SIGTERM; it then completes the requests in flight.")
+	clause.Flag("settings", "Settings file in INI format.").Short('s').Required().StringVar(&c.settings)
 	return clause
 }
 
--- a/commander/standin.go
+++ b/commander/standin.go
@@ -18,18 +18,18 @@
 	"monsoonswitch/stopper"
 )
 
-// standinStoreCommand runs the stand-in of the platform.
+// standinStoreCommand runs the platform's stand-in.
 type standinStoreCommand struct {
 	listen string
 	fault  imitator.StoreFault
 }
 
-// standinCommand returns the command that both stand-ins belong to.
+// standinCommand returns the parent command of both stand-in commands.
 func standinCommand(app *kingpin.Application) *kingpin.CmdClause {
 	if c := app.GetCommand("standin"); c != nil {
 		return c
 	}
-	return app.Command("standin", "Run a stand-in for what surrounds the fleet.")
+	return app.Command("standin", "Run a stand-in for a part of the fleet's environment.")
 }
 
 func (c *standinStoreCommand) register(app *kingpin.Application) *kingpin.CmdClause {
@@ -38,7 +38,7 @@
 	clause.Flag("outage", "Refuse every call.").BoolVar(&c.fault.Outage)
 	clause.Flag("slow", "Delay of every call.").DurationVar(&c.fault.Slow)
 	clause.Flag("lost", "Share of writes that take effect without a reply.").Float64Var(&c.fault.Lost)
-	clause.Flag("lag", "Delay of changes of the list.").DurationVar(&c.fault.Lag)
+	clause.Flag("lag", "Delay of changes to the list of backend servers.").DurationVar(&c.fault.Lag)
 	return clause
 }
 
@@ -56,7 +56,7 @@
 	return nil
 }
 
-// standinBackendCommand runs the stand-in of a backend server.
+// standinBackendCommand runs a backend server's stand-in.
 type standinBackendCommand struct {
 	listen, store, service, id, domain string
 	options                            imitator.BackendOptions
@@ -66,22 +66,22 @@
 func (c *standinBackendCommand) register(app *kingpin.Application) *kingpin.CmdClause {
 	clause := standinCommand(app).Command("backend", "A backend server with faults that can be switched on.")
 	clause.Flag("listen", "Address to listen on.").Default("127.0.0.1:0").StringVar(&c.listen)
-	clause.Flag("store", "Address of the stand-in store to register at.").StringVar(&c.store)
+	clause.Flag("store", "Address of the stand-in store to register with.").StringVar(&c.store)
 	clause.Flag("service", "Service to register for.").StringVar(&c.service)
-	clause.Flag("id", "Name in the list.").StringVar(&c.id)
+	clause.Flag("id", "ID in the list of backend servers.").StringVar(&c.id)
 	clause.Flag("domain", "Failure domain.").StringVar(&c.domain)
-	clause.Flag("slots", "Requests that run at a time.").Default("3").IntVar(&c.options.Slots)
-	clause.Flag("backlog", "Requests that wait before work is shed.").Default("1").IntVar(&c.options.Backlog)
+	clause.Flag("slots", "Number of requests that run concurrently.").Default("3").IntVar(&c.options.Slots)
+	clause.Flag("backlog", "Number of requests that may wait for a slot; further ones are shed.").Default("1").IntVar(&c.options.Backlog)
 	clause.Flag("median", "Median service time.").Default("20ms").DurationVar(&c.options.Median)
 	clause.Flag("spread", "Standard deviation of the logarithm of the service time.").Default("0.5").Float64Var(&c.options.Spread)
-	clause.Flag("cold", "Length of the cold start.").DurationVar(&c.options.Cold)
-	clause.Flag("down", "How long a crash takes it down.").Default("1s").DurationVar(&c.options.Down)
+	clause.Flag("cold", "Duration of the cold start, in which service times are longer.").DurationVar(&c.options.Cold)
+	clause.Flag("down", "How long it is down after a crash.").Default("1s").DurationVar(&c.options.Down)
 	clause.Flag("seed", "Seed of the service times.").Default("1").Uint64Var(&c.options.Seed)
-	clause.Flag("stall", "Hold all real work while health checks pass.").BoolVar(&c.fault.Stall)
-	clause.Flag("errors", "Share of work answered with status 500.").Float64Var(&c.fault.Errors)
-	clause.Flag("cut", "Share of answers that break off.").Float64Var(&c.fault.Cut)
-	clause.Flag("late", "Delay of every answer.").DurationVar(&c.fault.Late)
-	clause.Flag("flap", "Period of stalls that come and go.").DurationVar(&c.fault.Flap)
+	clause.Flag("stall", "Hold all requests for work, while health checks still pass.").BoolVar(&c.fault.Stall)
+	clause.Flag("errors", "Share of requests answered with status 500.").Float64Var(&c.fault.Errors)
+	clause.Flag("cut", "Share of responses that are truncated.").Float64Var(&c.fault.Cut)
+	clause.Flag("late", "Delay of every response.").DurationVar(&c.fault.Late)
+	clause.Flag("flap", "Interval after which a stall switches on and off.").DurationVar(&c.fault.Flap)
 	return clause
 }
 
@@ -94,7 +94,7 @@
 		return err
 	}
 	defer p.Close()
-	if err := c.registerAt(ctx, p.Address()); err != nil {
+	if err := c.registerAddress(ctx, p.Address()); err != nil {
 		return err
 	}
 	fmt.Fprintf(out, "listening on %s\n", p.Address())
@@ -102,8 +102,9 @@
 	return nil
 }
 
-// registerAt enters the stand-in into the list of the stand-in store.
-func (c *standinBackendCommand) registerAt(ctx context.Context, address string) error {
+// registerAddress registers the stand-in's address with the stand-in store. It does
+// nothing if there is no store.
+func (c *standinBackendCommand) registerAddress(ctx context.Context, address string) error {
 	if c.store == "" {
 		return nil
 	}
--- a/commander/status.go
+++ b/commander/status.go
@@ -16,14 +16,15 @@
 	"monsoonswitch/operator"
 )
 
-// errUnreachable reports an instance that does not answer.
+// errUnreachable reports an instance or a stand-in that does not answer, or answers
+// with an error.
 var errUnreachable = eris.New("instance does not answer")
 
-// statusCommand shows the revisions in force.
+// statusCommand prints the revisions in force at instances.
 type statusCommand struct{ addresses []string }
 
 func (c *statusCommand) register(app *kingpin.Application) *kingpin.CmdClause {
-	clause := app.Command("status", "Show which revision of each declaration is in force at instances, and how long that took.")
+	clause := app.Command("status", "Show the revision of each declaration in force at instances, and how long it took to take effect.")
 	clause.Arg("address", "Addresses of operators' listeners.").Required().StringsVar(&c.addresses)
 	return clause
 }
@@ -53,14 +54,15 @@
 	return first
 }
 
-// fetch reads a JSON answer of an operators' listener.
+// fetch gets and decodes a JSON response of an operators' listener. It returns an
+// error that wraps errUnreachable if the instance does not answer with status 200.
 func fetch(ctx context.Context, address, path string, result any) error {
 	listener.Configure()
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+path, nil)
 	if err != nil {
-		return eris.Wrap(err, "build question")
+		return eris.Wrap(err, "build request")
 	}
 	response, err := httpc.DoRequest(r)
 	if err != nil {
@@ -70,5 +72,5 @@
 	if response.StatusCode != http.StatusOK {
 		return eris.Wrapf(errUnreachable, "status %d", response.StatusCode)
 	}
-	return eris.Wrap(json.NewDecoder(response.Body).Decode(result), "read answer")
+	return eris.Wrap(json.NewDecoder(response.Body).Decode(result), "decode response")
 }
--- a/commander/trial.go
+++ b/commander/trial.go
@@ -13,35 +13,37 @@
 	"monsoonswitch/experimenter"
 )
 
-// trialCommand runs the fake-time experiments.
+// trialCommand runs the experiments in simulated time.
 type trialCommand struct {
 	seeds, workers int
-	days           float64
-	only           string
+	// days is the simulated time of the healthy experiment in days, over all seeds.
+	days float64
+	// only is the name of the only experiment to run; empty means all but month.
+	only string
 }
 
 func (c *trialCommand) register(app *kingpin.Application) *kingpin.CmdClause {
-	clause := app.Command("trial", "Run the experiments in fake time: policies beside baselines, the same arrivals for each.")
+	clause := app.Command("trial", "Run the experiments in simulated time, to compare policies with baselines under the same arrivals.")
 	clause.Flag("seeds", "Number of seeds.").Default("20").IntVar(&c.seeds)
-	clause.Flag("workers", "Runs at a time.").Default("4").IntVar(&c.workers)
+	clause.Flag("workers", "Number of concurrent runs.").Default("4").IntVar(&c.workers)
 	clause.Flag("days", "Simulated healthy days for false ejections, over all seeds.").Default("0.2").Float64Var(&c.days)
 	clause.Flag("only", "Run only this experiment.").EnumVar(&c.only, "stall", "errors", "detectors", "path", "healthy", "crest", "order", "uploads", "outage", "placement", "month")
 	return clause
 }
 
-// trialPart is one table.
-type trialPart struct {
+// trialTable is one experiment, which prints a table.
+type trialTable struct {
 	name string
 	run  func(c *trialCommand, w io.Writer)
 }
 
 func (c *trialCommand) run(_ context.Context, out, _ io.Writer) error {
-	parts := []trialPart{
+	tables := []trialTable{
 		{"stall", (*trialCommand).stall},
 		{"errors", (*trialCommand).errors},
 		{"detectors", (*trialCommand).detectors},
 		{"path", (*trialCommand).path},
-		{"crest", (*trialCommand).crest},
+		{"crest", (*trialCommand).peak},
 		{"order", (*trialCommand).order},
 		{"uploads", (*trialCommand).uploads},
 		{"outage", (*trialCommand).outage},
@@ -49,12 +51,12 @@
 		{"healthy", (*trialCommand).healthy},
 		{"month", (*trialCommand).month},
 	}
-	for _, p := range parts {
-		if c.only != p.name && (c.only != "" || p.name == "month") {
+	for _, t := range tables {
+		if c.only != t.name && (c.only != "" || t.name == "month") {
 			continue
 		}
 		w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
-		p.run(c, w)
+		t.run(c, w)
 		fmt.Fprintln(w)
 		if err := w.Flush(); err != nil {
 			return eris.Wrap(err, "write table")
@@ -63,28 +65,31 @@
 	return nil
 }
 
-// sites returns the services that the users weigh most.
-func sites() []experimenter.Experiment {
+// mainServices returns experiments with the services that matter most to the users.
+func mainServices() []experimenter.Experiment {
 	return []experimenter.Experiment{experimenter.Fieldbook(), experimenter.Kliniki()}
 }
 
+// Start and end of the faults, from the start of the experiment.
 const (
-	faultAt  = 20 * time.Second
-	faultEnd = 60 * time.Second
+	faultStart = 20 * time.Second
+	faultEnd   = 60 * time.Second
 )
 
+// stall measures the detection of a backend server that stalls.
 func (c *trialCommand) stall(w io.Writer) {
 	fmt.Fprintf(w, "One backend server stalls all work at 30%% load, %d seeds\n", c.seeds)
 	c.detection(w, experimenter.Sets(), func(x experimenter.Experiment) experimenter.Experiment {
-		return x.WithStall(0.3, faultAt, faultEnd)
+		return x.WithStall(0.3, faultStart, faultEnd)
 	})
 }
 
+// errors measures the detection of a backend server that fails part of its requests.
 func (c *trialCommand) errors(w io.Writer) {
 	for _, share := range []float64{0.3, 0.1} {
 		fmt.Fprintf(w, "One backend server fails %.0f%% of its work at 30%% load, %d seeds\n", 100*share, c.seeds)
 		c.detection(w, experimenter.Sets(), func(x experimenter.Experiment) experimenter.Experiment {
-			x = x.WithStall(0.3, faultAt, faultEnd)
+			x = x.WithStall(0.3, faultStart, faultEnd)
 			x.Faults[0].Stall = false
 			x.Faults[0].Errors = share
 			return x
@@ -92,57 +97,65 @@
 	}
 }
 
+// detectors compares the detectors for a slow backend server.
 func (c *trialCommand) detectors(w io.Writer) {
 	fmt.Fprintf(w, "Detectors, all else equal: one backend server takes 8 times as long, %d seeds\n", c.seeds)
 	c.detection(w, experimenter.Detectors(), func(x experimenter.Experiment) experimenter.Experiment {
-		x = x.WithStall(0.3, faultAt, faultEnd)
+		x = x.WithStall(0.3, faultStart, faultEnd)
 		x.Faults[0].Stall = false
 		x.Faults[0].Slow = 8
 		return x
 	})
 }
 
+// path measures a fault between one instance and one backend server, which must not
+// lead to an ejection.
 func (c *trialCommand) path(w io.Writer) {
 	fmt.Fprintf(w, "One instance alone gets no answers from one backend server, %d seeds; nothing is to be ejected\n", c.seeds)
 	c.detection(w, experimenter.Sets(), func(x experimenter.Experiment) experimenter.Experiment {
-		return x.WithPathFault(0.3, faultAt, faultEnd)
+		return x.WithPathFault(0.3, faultStart, faultEnd)
 	})
 }
 
+// outage measures a stall while the store is unavailable, so that backend servers can
+// be avoided but not ejected.
 func (c *trialCommand) outage(w io.Writer) {
 	fmt.Fprintf(w, "A stall while the store is away, %d seeds; nothing can be ejected\n", c.seeds)
 	c.detection(w, experimenter.Sets(), func(x experimenter.Experiment) experimenter.Experiment {
-		x = x.WithStall(0.3, faultAt, faultEnd)
+		x = x.WithStall(0.3, faultStart, faultEnd)
 		x.Outage = time.Second
 		return x
 	})
 }
 
-func (c *trialCommand) detection(w io.Writer, sets []experimenter.PolicySet, shape func(experimenter.Experiment) experimenter.Experiment) {
+// detection prints the detection times and the effects on short requests for each
+// service and set of policies. The function configure adds load and faults.
+func (c *trialCommand) detection(w io.Writer, sets []experimenter.PolicySet, configure func(experimenter.Experiment) experimenter.Experiment) {
 	fmt.Fprintln(w, "SERVICE\tPOLICY\tAVOIDED MEDIAN\tWORST\tNEVER\tEJECTED MEDIAN\tWORST\tNEVER\tFALSE\tFLOOR BREACHES\tVISITS SERVED\tFAILED\tP99")
-	for _, site := range sites() {
+	for _, base := range mainServices() {
 		for _, set := range sets {
-			results := experimenter.RunSeeds(set, shape(site), c.seeds, c.workers)
+			results := experimenter.RunSeeds(set, configure(base), c.seeds, c.workers)
 			avoided := make([]time.Duration, len(results))
-			detected := make([]time.Duration, len(results))
+			ejected := make([]time.Duration, len(results))
 			for i, r := range results {
 				avoided[i] = r.AvoidedAfter
-				detected[i] = r.EjectedAfter
+				ejected[i] = r.EjectedAfter
 			}
 			t := totalOf(results)
-			a50, a99, aNever := experimenter.Spans(avoided)
-			d50, d99, dNever := experimenter.Spans(detected)
-			served, failed, p99 := shortWork(results)
-			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%d\t%s\t%s\t%d\t%d\t%d\t%.2f%%\t%d\t%s\n", site.Service.Name, set.Name,
-				span(a50), span(a99), aNever, span(d50), span(d99), dNever, t.falses, t.breaches, served, failed, span(p99))
+			avoidedMedian, avoidedMax, avoidedNever := experimenter.Spans(avoided)
+			ejectedMedian, ejectedMax, ejectedNever := experimenter.Spans(ejected)
+			served, failed, p99 := visitResults(results)
+			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%d\t%s\t%s\t%d\t%d\t%d\t%.2f%%\t%d\t%s\n", base.Service.Name, set.Name,
+				durationText(avoidedMedian), durationText(avoidedMax), avoidedNever,
+				durationText(ejectedMedian), durationText(ejectedMax), ejectedNever, t.falseEjections, t.floorBreaches, served, failed, durationText(p99))
 		}
 	}
 }
 
-// total sums up the results of all seeds.
+// total is the sum of the results of all seeds.
 type total struct {
-	sent                        uint64
-	ejections, falses, breaches int
+	sent                                     uint64
+	ejections, falseEjections, floorBreaches int
 }
 
 func totalOf(results []experimenter.Result) total {
@@ -152,48 +165,51 @@
 			t.sent += class.Sent
 		}
 		t.ejections += r.Ejections
-		t.falses += r.FalseEjections
-		t.breaches += r.FloorBreaches
+		t.falseEjections += r.FalseEjections
+		t.floorBreaches += r.FloorBreaches
 	}
 	return t
 }
 
-// shortWork returns the share of visits served in percent, those that failed or
-// were refused, and the median over the seeds of the 99th percentile.
-func shortWork(results []experimenter.Result) (float64, uint64, time.Duration) {
+// visitResults returns the share of visits served in percent, the number of visits
+// that failed or were refused, and the 99th percentile of their latency as the median
+// over the seeds.
+func visitResults(results []experimenter.Result) (float64, uint64, time.Duration) {
 	var sent, served, failed uint64
-	var tails []time.Duration
+	var percentiles []time.Duration
 	for _, r := range results {
 		c := r.Classes["visit"]
 		sent += c.Sent
 		served += c.Served
 		failed += c.Failed + c.Refused
-		tails = append(tails, c.Percentile(99))
+		percentiles = append(percentiles, c.Percentile(99))
 	}
-	p99, _, _ := experimenter.Spans(tails)
+	p99, _, _ := experimenter.Spans(percentiles)
 	return 100 * float64(served) / float64(max(1, sent)), failed, p99
 }
 
-func span(d time.Duration) string {
+// durationText formats a duration to the millisecond; negative means never.
+func durationText(d time.Duration) string {
 	if d < 0 {
 		return "-"
 	}
 	return d.Round(time.Millisecond).String()
 }
 
+// healthy counts the false ejections without any fault.
 func (c *trialCommand) healthy(w io.Writer) {
 	length := time.Duration(c.days * 24 * float64(time.Hour) / float64(c.seeds))
 	fmt.Fprintf(w, "%.1f healthy days over %d seeds: heavy tails, hourly crests over capacity, restarts with cold starts\n", c.days, c.seeds)
 	fmt.Fprintln(w, "SERVICE\tPOLICY\tREQUESTS\tEJECTIONS\tFALSE\tFLOOR BREACHES")
-	for _, site := range sites() {
+	for _, base := range mainServices() {
 		for _, set := range experimenter.Detectors() {
-			t := totalOf(experimenter.RunSeeds(set, site.WithHealthyDay(0.1, length), c.seeds, c.workers))
-			fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%d\t%d\n", site.Service.Name, set.Name, t.sent, t.ejections, t.falses, t.breaches)
+			t := totalOf(experimenter.RunSeeds(set, base.WithHealthyDay(0.1, length), c.seeds, c.workers))
+			fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%d\t%d\n", base.Service.Name, set.Name, t.sent, t.ejections, t.falseEjections, t.floorBreaches)
 		}
 	}
 }
 
-// month runs the policies of production alone over a long healthy time.
+// month counts the false ejections of the production policies over 30 healthy days.
 func (c *trialCommand) month(w io.Writer) {
 	const days = 30
 	length := time.Duration(days * 24 * float64(time.Hour) / float64(c.seeds))
@@ -202,6 +218,6 @@
 	x := experimenter.Fieldbook().WithHealthyDay(0.05, length)
 	results := experimenter.RunSeeds(experimenter.Sets()[0], x, c.seeds, c.workers)
 	t := totalOf(results)
-	served, _, _ := shortWork(results)
-	fmt.Fprintf(w, "%d\t%d\t%d\t%d\t%.3f%%\n", t.sent, t.ejections, t.falses, t.breaches, served)
+	served, _, _ := visitResults(results)
+	fmt.Fprintf(w, "%d\t%d\t%d\t%d\t%.3f%%\n", t.sent, t.ejections, t.falseEjections, t.floorBreaches, served)
 }
--- a/main.go
+++ b/main.go
@@ -1,5 +1,5 @@
-// Command monsoonswitch is a proxy fleet for services whose backend servers fail
-// grayly.
+// Command monsoonswitch runs and operates a proxy fleet for services whose backend
+// servers fail grayly: they answer probes while losing real work.
 package main
 
 import (
