--- a/reporter/html.go
+++ b/reporter/html.go
@@ -10,13 +10,13 @@
 	"monsoonswitch/plotter"
 )
 
-// page is what the template shows.
+// page is the data of pageTemplate.
 type page struct {
 	Report
 	Latencies, Reasons template.HTML
 }
 
-var pageTemplate = template.Must(template.New("report").Funcs(template.FuncMap{"stamp": stamp, "dash": orDash}).Parse(`<!DOCTYPE html>
+var pageTemplate = template.Must(template.New("report").Funcs(template.FuncMap{"stamp": formatTime, "dash": orDash}).Parse(`<!DOCTYPE html>
 <html lang="en"><head><meta charset="utf-8"><title>Report of {{.Service}}</title>
 <style>
 body{font-family:sans-serif;margin:2em;max-width:60em}
@@ -54,7 +54,8 @@
 </body></html>
 `))
 
-// HTML writes the report as a page with plots.
+// HTML writes the report as an HTML page with plots. It returns an error if drawing
+// or writing fails.
 func (r Report) HTML(out io.Writer) error {
 	p := page{Report: r}
 	var err error
@@ -67,6 +68,7 @@
 	return eris.Wrap(pageTemplate.Execute(out, p), "write page")
 }
 
+// latencyPlot draws the latency histogram up to twice the 99th percentile.
 func (r Report) latencyPlot() (template.HTML, error) {
 	line := plotter.Line{Name: "served"}
 	for i, n := range r.Latency {
@@ -79,6 +81,8 @@
 	return plotter.Lines("Latency of served requests", "milliseconds", "requests", []plotter.Line{line})
 }
 
+// reasonPlot draws the number of requests by reason; it returns an empty text if
+// there are none.
 func (r Report) reasonPlot() (template.HTML, error) {
 	sums := make(map[string]float64)
 	var names []string
--- a/reporter/keys_test.go
+++ b/reporter/keys_test.go
@@ -7,7 +7,7 @@
 	"monsoonswitch/asserter"
 )
 
-// TestKeys guards the names of the fields of a report in JSON.
+// TestKeys checks the JSON keys of a report, which other tools read.
 func TestKeys(t *testing.T) {
 	asserter.Keys(t, "testdata/keys.golden", map[string]any{
 		"report": Report{},
--- a/reporter/print.go
+++ b/reporter/print.go
@@ -10,7 +10,7 @@
 	"github.com/rotisserie/eris"
 )
 
-// Text writes the report for a terminal.
+// Text writes the report as plain text tables.
 func (r Report) Text(out io.Writer) error {
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	fmt.Fprintf(w, "service\t%s\n", r.Service)
@@ -30,15 +30,17 @@
 	}
 	fmt.Fprintln(w, "\nREVISION\tFIRST IN FORCE\tLAST TAKEN UP\tINSTANCES")
 	for _, v := range r.Revisions {
-		fmt.Fprintf(w, "%d\t%s\t%s\t%d\n", v.Revision, stamp(v.First), stamp(v.Last), v.Instances)
+		fmt.Fprintf(w, "%d\t%s\t%s\t%d\n", v.Revision, formatTime(v.First), formatTime(v.Last), v.Instances)
 	}
 	fmt.Fprintln(w, "\nINSTANCE\tINCARNATION\tRECEIVED\tLAST REPORT\tSTATE\tUNACCOUNTED")
 	for _, i := range r.Instances {
-		fmt.Fprintf(w, "%s\t%d\t%d\t%s\t%s\t%d\n", i.Instance, i.Incarnation, i.Received, stamp(i.Last), i.state(), i.Uncertain)
+		fmt.Fprintf(w, "%s\t%d\t%d\t%s\t%s\t%d\n", i.Instance, i.Incarnation, i.Received, formatTime(i.Last), i.state(), i.Uncertain)
 	}
 	return eris.Wrap(w.Flush(), "write report")
 }
 
+// state returns whether the counts of the incarnation are complete, whether it
+// vanished, or that it still reports.
 func (i Incarnation) state() string {
 	switch {
 	case i.Final:
@@ -56,7 +58,7 @@
 	return eris.Wrap(e.Encode(r), "write report")
 }
 
-func stamp(t time.Time) string { return t.UTC().Format(time.RFC3339) }
+func formatTime(t time.Time) string { return t.UTC().Format(time.RFC3339) }
 
 func orDash(s string) string {
 	if s == "" {
--- a/reporter/reporter.go
+++ b/reporter/reporter.go
@@ -1,5 +1,5 @@
-// Package reporter makes the final report of a service from the tallies of every
-// instance incarnation.
+// Package reporter builds the final report of a service from the tallies of all
+// instance incarnations.
 package reporter
 
 import (
@@ -18,18 +18,19 @@
 	"monsoonswitch/storer"
 )
 
-// ErrNoService reports a service that was never declared.
+// ErrNoService reports a service without a declaration in the store.
 var ErrNoService = eris.New("no such service")
 
-// flushTime is the longest time that a count takes from an instance to the
-// writer of its service.
-const flushTime = 3 * time.Second
+// tallyDelay is the longest time that a tally takes from an instance to the instance
+// that writes the service's tallies to the store.
+const tallyDelay = 3 * time.Second
 
-// silence is the age of the last report of an incarnation from which on it
-// counts as vanished, unless it said goodbye.
-func silence(t descriptor.Tally) time.Duration { return 2*t.Every + 2*flushTime }
+// vanishAge returns the age of an incarnation's last tally from which on it counts as
+// vanished, unless the tally is final.
+func vanishAge(t descriptor.Tally) time.Duration { return 2*t.Every + 2*tallyDelay }
 
-// Row is the number of requests of one class that ended in one way.
+// Row counts the requests of one class that ended with the same reason and outcome.
+// Bytes is the number of response bytes sent for them.
 type Row struct {
 	Class    string `json:"class"`
 	Reason   string `json:"reason"`
@@ -38,7 +39,8 @@
 	Bytes    uint64 `json:"bytes"`
 }
 
-// Incarnation is the part of one instance incarnation.
+// Incarnation holds the counts of one instance incarnation. Since and Last are the
+// times of its start and of its last tally.
 type Incarnation struct {
 	Instance    string    `json:"instance"`
 	Incarnation int64     `json:"incarnation"`
@@ -46,16 +48,18 @@
 	Open        uint64    `json:"open"`
 	Since       time.Time `json:"since"`
 	Last        time.Time `json:"last"`
-	// Final tells that the counts are complete.
+	// Final reports whether the counts are complete.
 	Final bool `json:"final"`
-	// Vanished tells that the incarnation fell silent without a goodbye.
+	// Vanished reports whether the incarnation stopped reporting without a final
+	// tally.
 	Vanished bool `json:"vanished"`
-	// Uncertain bounds the requests that may be missing from its counts: those
-	// open at its last report and those it may have received since.
+	// Uncertain bounds the number of requests missing from its counts: those open
+	// at its last tally and those that it may have received since.
 	Uncertain uint64 `json:"uncertain"`
 }
 
-// Revision tells when a revision was in force first and last taken up.
+// Revision holds the times at which the first and the last instance put a revision
+// in force, and the number of instances that did.
 type Revision struct {
 	Revision  uint64    `json:"revision"`
 	First     time.Time `json:"first"`
@@ -70,28 +74,35 @@
 	Revision uint64    `json:"revision"`
 	At       time.Time `json:"at"`
 	Received uint64    `json:"received"`
-	// Served counts whole answers, Refused work that was not run, Uncertain
-	// work that may have run, and Abandoned work whose caller left.
+	// Served counts requests with a complete response, Refused those that were
+	// not run, Uncertain those that may have run, and Abandoned those cancelled
+	// by their caller.
 	Served    uint64 `json:"served"`
 	Refused   uint64 `json:"refused"`
 	Uncertain uint64 `json:"uncertain"`
 	Abandoned uint64 `json:"abandoned"`
-	// Open counts requests that had not ended at the last reports.
-	Open        uint64        `json:"open"`
-	Rows        []Row         `json:"rows"`
-	Median      time.Duration `json:"median"`
-	Tail        time.Duration `json:"tail"`
-	Latency     []uint64      `json:"latency"`
-	Ejections   uint64        `json:"ejections"`
-	Revisions   []Revision    `json:"revisions"`
-	Instances   []Incarnation `json:"instances"`
-	Vanished    int           `json:"vanished"`
-	Unaccounted uint64        `json:"unaccounted"`
-	// Sealed tells that the service is closed and every count is complete.
+	// Open counts requests that had not ended at the last tallies.
+	Open uint64 `json:"open"`
+	Rows []Row  `json:"rows"`
+	// Median and Tail are the 50th and 99th percentiles of the latency of served
+	// requests; Latency is its histogram in the buckets of descriptor.BucketBound.
+	Median    time.Duration `json:"median"`
+	Tail      time.Duration `json:"tail"`
+	Latency   []uint64      `json:"latency"`
+	Ejections uint64        `json:"ejections"`
+	Revisions []Revision    `json:"revisions"`
+	Instances []Incarnation `json:"instances"`
+	// Vanished counts the vanished incarnations; Unaccounted is the sum of their
+	// Uncertain.
+	Vanished    int    `json:"vanished"`
+	Unaccounted uint64 `json:"unaccounted"`
+	// Sealed reports whether the service is closed and every count is complete.
 	Sealed bool `json:"sealed"`
 }
 
-// Read makes the report of a service from the platform's store.
+// Read builds the report of a service from the platform's store. It returns an error
+// that wraps ErrNoService if the service is not declared, and other errors if the
+// store is unavailable or an item can't be decoded.
 func Read(ctx context.Context, client *storer.Client, service string, now time.Time) (Report, error) {
 	item, err := client.Get(ctx, storer.ServiceKey(service))
 	if errors.Is(err, storer.ErrNotFound) {
@@ -117,7 +128,7 @@
 	return Build(declared, item.Revision, tallies, now), nil
 }
 
-// Build makes a report. Tallies may come in any order and more than once.
+// Build builds a report from tallies, which may be in any order and repeated.
 func Build(s declarer.Service, revision uint64, tallies []descriptor.Tally, now time.Time) Report {
 	r := Report{
 		Service:  s.Name,
@@ -140,7 +151,7 @@
 	return r
 }
 
-// newest returns the newest tally of each incarnation, in a fixed order.
+// newest returns the newest tally of each incarnation, ordered by incarnation.
 func newest(tallies []descriptor.Tally) []descriptor.Tally {
 	best := make(map[string]descriptor.Tally, len(tallies))
 	for _, t := range counter.DropFolded(tallies) {
@@ -157,6 +168,7 @@
 	return result
 }
 
+// addTally adds the counts of one incarnation to the report.
 func (r *Report) addTally(t descriptor.Tally, rows map[Row]*Row, now time.Time) {
 	r.Received += t.Received
 	r.Open += t.Open
@@ -185,6 +197,7 @@
 	}
 }
 
+// addCount adds requests to the total that their reason and outcome belong to.
 func (r *Report) addCount(c descriptor.Count) {
 	switch {
 	case c.Reason == descriptor.Served:
@@ -198,9 +211,10 @@
 	}
 }
 
-// incarnationOf describes the part of one incarnation. One that vanished may
-// have received as many requests since its last report as it did on average in
-// the longest time between two reports, and as many again.
+// incarnationOf returns the counts of one incarnation. A vanished one may have
+// received requests since its last tally. Their number is bounded by twice its mean
+// rate over the longest time between two tallies, since the rate may have been above
+// the mean.
 func incarnationOf(t descriptor.Tally, now time.Time) Incarnation {
 	i := Incarnation{
 		Instance:    t.Instance,
@@ -211,16 +225,17 @@
 		Last:        t.At,
 		Final:       t.Final && t.Open == 0,
 	}
-	if i.Final || now.Sub(t.At) < silence(t) || t.Open == 0 && t.Received == 0 {
+	if i.Final || now.Sub(t.At) < vanishAge(t) || t.Open == 0 && t.Received == 0 {
 		return i
 	}
 	i.Vanished = true
-	span := max(t.At.Sub(t.Since), time.Second)
-	rate := float64(t.Received) / span.Seconds()
-	i.Uncertain = t.Open + uint64(math.Ceil(2*rate*(t.Every+flushTime).Seconds()))
+	reported := max(t.At.Sub(t.Since), time.Second)
+	rate := float64(t.Received) / reported.Seconds()
+	i.Uncertain = t.Open + uint64(math.Ceil(2*rate*(t.Every+tallyDelay).Seconds()))
 	return i
 }
 
+// addRevisions adds the revisions that one incarnation put in force.
 func addRevisions(t descriptor.Tally, revisions map[uint64]*Revision) {
 	for _, f := range t.Revisions {
 		v, ok := revisions[f.Revision]
@@ -238,6 +253,7 @@
 	}
 }
 
+// finishRows sets the rows, ordered by class, reason and outcome.
 func (r *Report) finishRows(rows map[Row]*Row) {
 	for _, row := range rows {
 		r.Rows = append(r.Rows, *row)
@@ -254,6 +270,7 @@
 	})
 }
 
+// finishRevisions sets the revisions in ascending order.
 func (r *Report) finishRevisions(revisions map[uint64]*Revision) {
 	for _, v := range revisions {
 		r.Revisions = append(r.Revisions, *v)
@@ -261,7 +278,8 @@
 	sort.Slice(r.Revisions, func(i, j int) bool { return r.Revisions[i].Revision < r.Revisions[j].Revision })
 }
 
-// quantile returns the upper bound of the bucket that holds a quantile.
+// quantile returns the upper bound of the histogram bucket that holds quantile q, which
+// is from 0 to 1, or 0 if the histogram is empty.
 func quantile(buckets []uint64, q float64) time.Duration {
 	var total uint64
 	for _, n := range buckets {
--- a/reporter/reporter_test.go
+++ b/reporter/reporter_test.go
@@ -14,8 +14,9 @@
 
 var began = time.Date(2026, 5, 1, 0, 0, 0, 0, time.UTC)
 
-// counted returns a counter of one incarnation with some requests ended.
-func counted(instance string, served, refused int) *counter.Counter {
+// counterWith returns the counter of one incarnation with the given numbers of ended
+// requests.
+func counterWith(instance string, served, refused int) *counter.Counter {
 	c := counter.New(descriptor.Member{ID: instance, Incarnation: 5})
 	for range served {
 		c.Receive(began, "billing")
@@ -28,6 +29,7 @@
 	return c
 }
 
+// tallyAt returns the tally of a counter at a time after began.
 func tallyAt(c *counter.Counter, at time.Duration) descriptor.Tally {
 	t, _ := c.Tally(began.Add(at), "billing")
 	return t
@@ -35,8 +37,8 @@
 
 func TestBuild(t *testing.T) {
 	service := declarer.Service{Name: "billing", State: declarer.Closed}
-	t.Run("tallies twice or out of order change nothing", func(t *testing.T) {
-		a := counted("a", 10, 2)
+	t.Run("repeated or unordered tallies do not change the report", func(t *testing.T) {
+		a := counterWith("a", 10, 2)
 		old := tallyAt(a, 0)
 		a.Receive(began, "billing")
 		a.End(began, "billing", "read", descriptor.Served, descriptor.Ran, 100, time.Millisecond)
@@ -48,8 +50,8 @@
 		asserter.Equal(t, "refused", r.Refused, uint64(2))
 		asserter.Equal(t, "sealed", r.Sealed, true)
 	})
-	t.Run("an incarnation that vanished is named and bounded", func(t *testing.T) {
-		b := counted("b", 100, 0)
+	t.Run("a vanished incarnation is listed with a bound on its missing requests", func(t *testing.T) {
+		b := counterWith("b", 100, 0)
 		b.Receive(began, "billing")
 		r := Build(service, 9, []descriptor.Tally{tallyAt(b, 50*time.Second)}, began.Add(time.Hour))
 		asserter.Equal(t, "vanished", r.Vanished, 1)
@@ -57,15 +59,15 @@
 		asserter.AtLeast(t, "unaccounted", r.Unaccounted, 1+2*2*3)
 		asserter.Equal(t, "sealed", r.Sealed, false)
 	})
-	t.Run("one that still reports is not", func(t *testing.T) {
-		b := counted("b", 100, 0)
+	t.Run("an incarnation that still reports has not vanished", func(t *testing.T) {
+		b := counterWith("b", 100, 0)
 		r := Build(service, 9, []descriptor.Tally{tallyAt(b, time.Minute)}, began.Add(time.Minute+time.Second))
 		asserter.Equal(t, "vanished", r.Vanished, 0)
 	})
 }
 
 func TestFormats(t *testing.T) {
-	r := Build(declarer.Service{Name: "billing"}, 9, []descriptor.Tally{tallyAt(counted("a", 10, 2), 0)}, began)
+	r := Build(declarer.Service{Name: "billing"}, 9, []descriptor.Tally{tallyAt(counterWith("a", 10, 2), 0)}, began)
 	for _, f := range []struct {
 		name  string
 		write func(*bytes.Buffer) error
