--- a/parser/section.go
+++ b/parser/section.go
@@ -1,5 +1,5 @@
-// Package parser takes typed keys out of the sections of INI files and says
-// which file, section and key is wrong.
+// Package parser reads typed values from the sections of INI files. Its errors name
+// the file, the section and the key.
 package parser
 
 import (
@@ -13,7 +13,8 @@
 	"gopkg.in/ini.v1"
 )
 
-// Load reads INI text. Sections of one name may stand more than once.
+// Load parses INI text, in which several sections may have the same name. It returns
+// an error that wraps invalid and names file if the text is malformed.
 func Load(file string, data []byte, invalid error) (*ini.File, error) {
 	f, err := ini.LoadSources(ini.LoadOptions{
 		AllowNonUniqueSections:     true,
@@ -27,13 +28,14 @@
 	return f, nil
 }
 
-// Section takes typed keys out of one section and remembers the first error.
+// Section reads typed values from one section and keeps the first error, which Finish
+// returns. A method that fails returns the value it read or a fallback.
 type Section struct {
 	file    string
 	section *ini.Section
-	// invalid is the sentinel that every error wraps.
+	// invalid is the error that every error wraps.
 	invalid error
-	// known lists the keys asked for so far.
+	// known lists the keys read so far.
 	known []string
 	err   error
 }
@@ -43,19 +45,20 @@
 	return &Section{file: file, section: s, invalid: invalid}
 }
 
-// Errorf returns an error that names file, section and key.
+// Errorf returns an error that wraps invalid and names the file, section and key.
 func Errorf(invalid error, file, section, key, format string, args ...any) error {
 	return eris.Wrapf(invalid, "%s: [%s] %s: %s", file, section, key, fmt.Sprintf(format, args...))
 }
 
-// Fail remembers an error unless there is one already.
+// Fail records an error for a key unless an earlier one is recorded.
 func (s *Section) Fail(key, format string, args ...any) {
 	if s.err == nil {
 		s.err = Errorf(s.invalid, s.file, s.section.Name(), key, format, args...)
 	}
 }
 
-// Text returns a text.
+// Text returns the text of a key without surrounding spaces, or fallback if the key is
+// missing. A repeated key is an error.
 func (s *Section) Text(key, fallback string) string {
 	s.known = append(s.known, key)
 	if !s.section.HasKey(key) {
@@ -67,7 +70,7 @@
 	return strings.TrimSpace(s.section.Key(key).String())
 }
 
-// Required returns a text that must not be empty.
+// Required returns the text of a key; a missing or empty one is an error.
 func (s *Section) Required(key string) string {
 	v := s.Text(key, "")
 	if v == "" {
@@ -76,7 +79,7 @@
 	return v
 }
 
-// Words returns the parts of a text between commas.
+// Words returns the non-empty parts of a comma-separated text.
 func (s *Section) Words(key string) []string {
 	var result []string
 	for _, w := range strings.Split(s.Text(key, ""), ",") {
@@ -87,7 +90,8 @@
 	return result
 }
 
-// Duration returns a duration. A missing one is an error if fallback is negative.
+// Duration returns a duration, or fallback if the key is missing or empty. That is an
+// error if fallback is negative.
 func (s *Section) Duration(key string, fallback time.Duration) time.Duration {
 	text := s.Text(key, "")
 	if text == "" && fallback >= 0 {
@@ -100,16 +104,16 @@
 	return d
 }
 
-// DurationIn returns a duration from least to most.
-func (s *Section) DurationIn(key string, fallback, least, most time.Duration) time.Duration {
+// DurationIn returns a duration; one outside of minimum to maximum is an error.
+func (s *Section) DurationIn(key string, fallback, minimum, maximum time.Duration) time.Duration {
 	d := s.Duration(key, fallback)
-	if d < least || d > most {
-		s.Fail(key, "%v is not from %v to %v", d, least, most)
+	if d < minimum || d > maximum {
+		s.Fail(key, "%v is not from %v to %v", d, minimum, maximum)
 	}
 	return d
 }
 
-// Number returns a number.
+// Number returns a number, or fallback if the key is missing or empty.
 func (s *Section) Number(key string, fallback float64) float64 {
 	text := s.Text(key, "")
 	if text == "" {
@@ -122,30 +126,30 @@
 	return v
 }
 
-// NumberIn returns a number from least to most.
-func (s *Section) NumberIn(key string, fallback, least, most float64) float64 {
+// NumberIn returns a number; one outside of minimum to maximum is an error.
+func (s *Section) NumberIn(key string, fallback, minimum, maximum float64) float64 {
 	v := s.Number(key, fallback)
-	if v < least || v > most {
-		s.Fail(key, "%v is not from %v to %v", v, least, most)
+	if v < minimum || v > maximum {
+		s.Fail(key, "%v is not from %v to %v", v, minimum, maximum)
 	}
 	return v
 }
 
-// IntIn returns a whole number from least to most.
-func (s *Section) IntIn(key string, fallback, least, most int) int {
+// IntIn returns an integer; one outside of minimum to maximum is an error.
+func (s *Section) IntIn(key string, fallback, minimum, maximum int) int {
 	text := s.Text(key, strconv.Itoa(fallback))
 	v, err := strconv.Atoi(text)
 	if err != nil {
 		s.Fail(key, "%q is no whole number", text)
 		return fallback
 	}
-	if v < least || v > most {
-		s.Fail(key, "%d is not from %d to %d", v, least, most)
+	if v < minimum || v > maximum {
+		s.Fail(key, "%d is not from %d to %d", v, minimum, maximum)
 	}
 	return v
 }
 
-// Flag returns true or false.
+// Flag returns a boolean; it is false if the key is missing.
 func (s *Section) Flag(key string) bool {
 	text := s.Text(key, "false")
 	v, err := strconv.ParseBool(text)
@@ -155,7 +159,7 @@
 	return v
 }
 
-// Choice returns one of the given words.
+// Choice returns the text of a key, which must be one of words.
 func (s *Section) Choice(key, fallback string, words ...string) string {
 	v := s.Text(key, fallback)
 	for _, w := range words {
@@ -167,7 +171,8 @@
 	return fallback
 }
 
-// Address returns host:port with an IP number as host.
+// Address returns an address of the form IP:PORT, or fallback if the key is missing;
+// an empty one is an error.
 func (s *Section) Address(key, fallback string) string {
 	v := s.Text(key, fallback)
 	if v == "" {
@@ -178,7 +183,8 @@
 	return v
 }
 
-// OptionalAddress returns an address or an empty text.
+// OptionalAddress returns an address of the form IP:PORT, or an empty text if the key
+// is missing.
 func (s *Section) OptionalAddress(key string) string {
 	v := s.Text(key, "")
 	if v != "" {
@@ -187,7 +193,7 @@
 	return v
 }
 
-// Addresses returns the addresses between commas.
+// Addresses returns the addresses of a comma-separated list.
 func (s *Section) Addresses(key string) []string {
 	list := s.Words(key)
 	for _, v := range list {
@@ -196,9 +202,10 @@
 	return list
 }
 
-// maxPort is the largest port.
+// maxPort is the largest TCP port number.
 const maxPort = 65535
 
+// checkAddress records an error unless v has the form IP:PORT.
 func (s *Section) checkAddress(key, v string) {
 	host, port, err := net.SplitHostPort(v)
 	if err != nil {
@@ -213,7 +220,8 @@
 	}
 }
 
-// Finish returns the first error, a key that nobody asked for among them.
+// Finish returns the first error. A key of the section that was never read is an
+// error too.
 func (s *Section) Finish() error {
 	if s.err != nil {
 		return s.err
@@ -226,6 +234,7 @@
 	return s.err
 }
 
+// isKnown reports whether a key was read.
 func (s *Section) isKnown(key string) bool {
 	for _, k := range s.known {
 		if k == key {
