--- a/asserter/asserter.go
+++ b/asserter/asserter.go
@@ -1,4 +1,5 @@
-// Package asserter holds the assertions that the tests share.
+// Package asserter provides the assertions shared by all tests. The parameter what
+// names the checked value in failure messages.
 package asserter
 
 import (
@@ -16,7 +17,7 @@
 	}
 }
 
-// True fails unless got holds.
+// True fails unless got is true.
 func True(t testing.TB, what string, got bool) {
 	t.Helper()
 	if !got {
@@ -24,7 +25,7 @@
 	}
 }
 
-// NoError stops the test on an error.
+// NoError fails and stops the test if got is not nil.
 func NoError(t testing.TB, what string, got error) {
 	t.Helper()
 	if got != nil {
@@ -56,18 +57,19 @@
 	}
 }
 
-// pollTime is the time between looks of Eventually.
-const pollTime = 20 * time.Millisecond
+// pollInterval is the time between two checks by Eventually.
+const pollInterval = 20 * time.Millisecond
 
-// Eventually stops the test unless ready returns true within limit. The limit
-// is generous: it ends a test that hangs and judges no speed.
+// Eventually calls ready until it returns true, and fails and stops the test if that
+// does not happen within limit. The limit should be generous: it ends tests that hang
+// and is no check of speed.
 func Eventually(t testing.TB, what string, limit time.Duration, ready func() bool) {
 	t.Helper()
 	deadline := time.Now().Add(limit)
 	for !ready() {
 		if time.Now().After(deadline) {
-			t.Fatalf("%s: got nothing in %v", what, limit)
+			t.Fatalf("%s: condition not met within %v", what, limit)
 		}
-		time.Sleep(pollTime)
+		time.Sleep(pollInterval)
 	}
 }
--- a/asserter/keys.go
+++ b/asserter/keys.go
@@ -11,20 +11,20 @@
 	"time"
 )
 
-// maxNesting bounds the depth to which fill follows types that hold themselves.
-const maxNesting = 8
+// maxDepth bounds the depth to which fill follows recursive types.
+const maxDepth = 8
 
-// Keys encodes one value of each document with every exported field set, decodes
-// it without its type, and fails unless the keys found equal those in the golden
-// file at path. A renamed field is dropped by the receiver without an error; this
-// finds it.
+// Keys checks the keys of encoded documents against the golden file at path. It
+// encodes one value of each document's type with every exported field set, and
+// decodes it into untyped values to collect the keys. The check is needed because
+// a receiver drops a renamed field without an error.
 func Keys(t testing.TB, path string, documents map[string]any, marshal func(any) ([]byte, error), unmarshal func([]byte, any) error) {
 	t.Helper()
 	var lines []string
 	for name, document := range documents {
-		full := reflect.New(reflect.TypeOf(document))
-		fill(full.Elem(), 0)
-		data, err := marshal(full.Interface())
+		filled := reflect.New(reflect.TypeOf(document))
+		fill(filled.Elem(), 0)
+		data, err := marshal(filled.Interface())
 		NoError(t, name+": encode", err)
 		var decoded any
 		NoError(t, name+": decode", unmarshal(data, &decoded))
@@ -39,9 +39,9 @@
 	}
 }
 
-// fill sets every exported field below v to a value other than zero.
+// fill sets v and every exported field below it to a non-zero value.
 func fill(v reflect.Value, depth int) {
-	if depth > maxNesting || !v.CanSet() {
+	if depth > maxDepth || !v.CanSet() {
 		return
 	}
 	switch {
@@ -84,6 +84,7 @@
 	v.SetMapIndex(key, value)
 }
 
+// fillScalar sets v to a non-zero value if it is a boolean, a text or a number.
 func fillScalar(v reflect.Value) {
 	switch {
 	case v.Kind() == reflect.Bool:
@@ -99,16 +100,16 @@
 	}
 }
 
-// keys returns the paths of all keys below a decoded value. A list shows its
-// length, which counts the fields of a struct that is encoded as an array.
+// keys returns the paths of all keys below a decoded value. The path of a list
+// includes its length, which is the number of fields of a struct encoded as an array.
 func keys(path string, decoded any) []string {
 	v := reflect.ValueOf(decoded)
 	switch v.Kind() {
 	case reflect.Map:
 		var lines []string
 		for _, k := range v.MapKeys() {
-			below := path + "." + fmt.Sprint(k.Interface())
-			lines = append(lines, keys(below, v.MapIndex(k).Interface())...)
+			child := path + "." + fmt.Sprint(k.Interface())
+			lines = append(lines, keys(child, v.MapIndex(k).Interface())...)
 		}
 		return lines
 	case reflect.Slice:
