--- a/bench_test.go
+++ b/bench_test.go
@@ -13,17 +13,20 @@
 	"monsoonswitch/asserter"
 )
 
-// usage is what processes used so far.
+// usage is the resource usage of all running processes. The processor time cpu, the
+// bytes sent over links and the store calls are totals since the start; resident is
+// the current resident memory in bytes.
 type usage struct {
-	cpu     time.Duration
-	sent    float64
-	calls   uint64
-	resides float64
+	cpu       time.Duration
+	sentBytes float64
+	calls     uint64
+	resident  float64
 }
 
-// clockTicks is the number of ticks a second in /proc.
-const clockTicks = 100
+// ticksPerSecond is the unit of processor times in /proc.
+const ticksPerSecond = 100
 
+// usage reads the resource usage from /proc, the metrics and the store.
 func (f *fleet) usage() usage {
 	var u usage
 	for _, p := range f.live() {
@@ -33,49 +36,49 @@
 		user, _ := strconv.Atoi(fields[11])
 		system, _ := strconv.Atoi(fields[12])
 		pages, _ := strconv.Atoi(fields[21])
-		u.cpu += time.Duration(user+system) * time.Second / clockTicks
-		u.resides += float64(pages * os.Getpagesize())
+		u.cpu += time.Duration(user+system) * time.Second / ticksPerSecond
+		u.resident += float64(pages * os.Getpagesize())
 		var m map[string]struct {
 			Value float64 `json:"value"`
 		}
 		get(f.t, p.operators, "/metrics", &m)
-		u.sent += m["links.sentbytes"].Value
+		u.sentBytes += m["links.sentbytes"].Value
 	}
 	u.calls = f.store.Calls().Total()
 	return u
 }
 
-// BenchmarkFleet measures fleets of real processes without traffic: control
-// traffic, processor time, memory, store calls, and how long a revision takes to
-// be in force everywhere.
+// BenchmarkFleet measures fleets of real processes without requests: control traffic,
+// processor time, memory, store calls, and how long a new revision takes to be in
+// force at all instances.
 func BenchmarkFleet(b *testing.B) {
-	const quiet = 10 * time.Second
+	const idlePeriod = 10 * time.Second
 	const revisions = 10
 	for _, n := range []int{6, 12, 24, 48} {
 		b.Run(fmt.Sprintf("%d processes", n), func(b *testing.B) {
 			f := newFleet(b, n)
 			time.Sleep(3 * time.Second)
 			before := f.usage()
-			time.Sleep(quiet)
+			time.Sleep(idlePeriod)
 			after := f.usage()
-			share := float64(n) * quiet.Seconds()
-			b.ReportMetric((after.sent-before.sent)/share, "B/s/instance")
-			b.ReportMetric(100*(after.cpu-before.cpu).Seconds()/share, "%core/instance")
-			b.ReportMetric(after.resides/float64(n)/(1<<20), "MB-resident/instance")
-			b.ReportMetric(float64(after.calls-before.calls)/quiet.Seconds(), "storecalls/s")
-			spread := hdrhistogram.New(1, 60_000, 3)
+			instanceSeconds := float64(n) * idlePeriod.Seconds()
+			b.ReportMetric((after.sentBytes-before.sentBytes)/instanceSeconds, "B/s/instance")
+			b.ReportMetric(100*(after.cpu-before.cpu).Seconds()/instanceSeconds, "%core/instance")
+			b.ReportMetric(after.resident/float64(n)/(1<<20), "MB-resident/instance")
+			b.ReportMetric(float64(after.calls-before.calls)/idlePeriod.Seconds(), "storecalls/s")
+			delays := hdrhistogram.New(1, 60_000, 3)
 			for i := range revisions {
 				s := fieldbook()
 				s.Floor = 2 + i%3
 				f.waitRevision(f.declare(s))
 				for _, p := range f.live() {
 					for _, v := range f.status(p).Services {
-						asserter.NoError(b, "record", spread.RecordValue(1+int64(1000*v.Seconds)))
+						asserter.NoError(b, "record", delays.RecordValue(1+int64(1000*v.Seconds)))
 					}
 				}
 			}
-			b.ReportMetric(float64(spread.ValueAtQuantile(50)), "ms-p50")
-			b.ReportMetric(float64(spread.ValueAtQuantile(99)), "ms-p99")
+			b.ReportMetric(float64(delays.ValueAtQuantile(50)), "ms-p50")
+			b.ReportMetric(float64(delays.ValueAtQuantile(99)), "ms-p99")
 			b.ReportMetric(0, "ns/op")
 		})
 	}
--- a/fleet_test.go
+++ b/fleet_test.go
@@ -12,21 +12,25 @@
 	"monsoonswitch/reporter"
 )
 
+// fleetSize is the number of instances of the fleets in these tests.
 const fleetSize = 12
 
+// TestFleetConfiguration checks that a revision takes effect at all instances under
+// load, that a new instance gets it from the others, and that closing a service ends
+// with a complete report.
 func TestFleetConfiguration(t *testing.T) {
 	f := newFleet(t, fleetSize)
 	x := newTraffic(f, 4)
 	s := fieldbook()
 	s.Floor = 3
 	f.waitRevision(f.declare(s))
-	t.Run("a new instance learns it while the store is away", func(*testing.T) {
+	t.Run("a new instance starts while the store is unavailable", func(*testing.T) {
 		f.store.SetFault(imitator.StoreFault{Outage: true})
 		f.start()
 		f.waitReady(fleetSize + 1)
 		f.store.SetFault(imitator.StoreFault{})
 	})
-	t.Run("closing refuses truthfully and ends sealed", func(t *testing.T) {
+	t.Run("closing refuses correctly and the report is sealed", func(t *testing.T) {
 		f.waitRevision(f.declare(s.WithState(declarer.Closing)))
 		x.finish()
 		f.waitRevision(f.declare(s.WithState(declarer.Closed)))
@@ -38,6 +42,8 @@
 	})
 }
 
+// TestFleetStoreOutage checks that every request gets an answer while the store is
+// unavailable and a backend server fails all requests.
 func TestFleetStoreOutage(t *testing.T) {
 	f := newFleet(t, fleetSize)
 	f.store.SetFault(imitator.StoreFault{Outage: true})
@@ -48,6 +54,8 @@
 	asserter.Equal(t, "unknown", x.unknown, 0)
 }
 
+// TestFleetOneWayPartition checks the guarantees while links work in one direction
+// only, and that the fleet recovers afterwards.
 func TestFleetOneWayPartition(t *testing.T) {
 	f := newFleet(t, fleetSize)
 	x := newTraffic(f, 4)
@@ -67,6 +75,7 @@
 	x.finish()
 }
 
+// TestFleetKill checks the guarantees when a third of the instances is killed at once.
 func TestFleetKill(t *testing.T) {
 	f := newFleet(t, fleetSize)
 	x := newTraffic(f, 4)
@@ -80,6 +89,8 @@
 	x.finish()
 }
 
+// TestFleetRollingRestart checks that replacing all instances, three at a time, loses
+// and refuses no request and that the report is complete.
 func TestFleetRollingRestart(t *testing.T) {
 	f := newFleet(t, fleetSize)
 	x := newTraffic(f, 4)
@@ -100,8 +111,9 @@
 	}
 	f.waitReady(fleetSize)
 	x.finish()
-	// A slow machine may refuse work as overloaded; a restart must refuse none.
-	asserter.Equal(t, "refused for the restart", x.refused-x.reasons["overloaded not-run"], 0)
+	// Requests may be refused as overloaded on a slow machine, but none may be
+	// refused because of the restart.
+	asserter.Equal(t, "refused because of the restart", x.refused-x.reasons["overloaded not-run"], 0)
 	asserter.Equal(t, "unknown", x.unknown, 0)
 	t.Run("the report is complete", func(t *testing.T) {
 		f.stopAll()
--- a/main_test.go
+++ b/main_test.go
@@ -26,7 +26,7 @@
 	"monsoonswitch/storer"
 )
 
-// binary is the program under test.
+// binary is the path of the program under test.
 var binary string
 
 func TestMain(m *testing.M) {
@@ -44,10 +44,11 @@
 	os.Exit(code)
 }
 
-// patience is how long tests wait for what must come. It judges no speed.
-const patience = 60 * time.Second
+// waitLimit bounds the wait for an expected condition. It is generous, since it is no
+// check of speed.
+const waitLimit = 60 * time.Second
 
-// process is one serve process behind a proxy for its inner listener.
+// process is one serve process with a proxy in front of its inner listener.
 type process struct {
 	name, domain      string
 	cmd               *exec.Cmd
@@ -56,7 +57,8 @@
 	exited            chan struct{}
 }
 
-// fleet is a number of serve processes with stand-ins around them.
+// fleet is a fleet of serve processes with stand-ins for the platform and the backend
+// servers. The address is that of the store.
 type fleet struct {
 	t        testing.TB
 	store    *imitator.Store
@@ -70,8 +72,10 @@
 	proxies   *toxiproxy.ApiServer
 }
 
+// domains are the failure domains of the instances and backend servers.
 var domains = []string{"worcester", "providence", "portsmouth"}
 
+// fieldbook returns the declaration of the service fieldbook.
 func fieldbook() declarer.Service {
 	s, err := declarer.Load("loader/deployments/pelletier/fieldbook.ini")
 	if err != nil {
@@ -80,6 +84,8 @@
 	return s
 }
 
+// newFleet starts a fleet with six backend servers of fieldbook and waits until all
+// instances are ready.
 func newFleet(t testing.TB, instances int) *fleet {
 	f := &fleet{t: t, store: imitator.NewStore(), proxies: toxiproxy.NewServer(toxiproxy.NewMetricsContainer(nil), zerolog.Nop())}
 	p, err := imitator.ServeStore(f.store, "127.0.0.1:0")
@@ -108,7 +114,7 @@
 	f.store.Register("fieldbook", descriptor.Backend{ID: fmt.Sprintf("fieldbook-%d", i), Address: p.Address(), Domain: domains[i%3], Slots: 3})
 }
 
-// declare writes a declaration over whatever the store holds.
+// declare writes a declaration, replacing any stored one, and returns its revision.
 func (f *fleet) declare(s declarer.Service) uint64 {
 	f.t.Helper()
 	data, err := json.Marshal(s)
@@ -119,7 +125,7 @@
 	return item.Revision
 }
 
-// start starts one serve process.
+// start starts one serve process with a proxy and with up to four seeds.
 func (f *fleet) start() *process {
 	f.t.Helper()
 	running := f.live()
@@ -164,7 +170,7 @@
 	return p
 }
 
-// launch starts the process and reads its addresses from its first log event.
+// launch starts the process and reads its addresses from the log event for the start.
 func (f *fleet) launch(p *process) {
 	f.t.Helper()
 	out, err := p.cmd.StdoutPipe()
@@ -196,7 +202,7 @@
 	}()
 }
 
-// innerAddress reads where a process listens for instances from its dump.
+// innerAddress returns the inner listening address of a process from its dump.
 func innerAddress(t testing.TB, operators string) string {
 	t.Helper()
 	var d struct {
@@ -206,15 +212,16 @@
 	return d.Listening.Inner
 }
 
-// get reads a JSON answer of an operators' listener.
+// get gets and decodes a JSON response of an operators' listener.
 func get(t testing.TB, address, path string, result any) {
 	t.Helper()
 	response, err := http.Get("http://" + address + path)
-	asserter.NoError(t, "ask", err)
+	asserter.NoError(t, "send request", err)
 	defer response.Body.Close()
-	asserter.NoError(t, "read answer", json.NewDecoder(response.Body).Decode(result))
+	asserter.NoError(t, "decode response", json.NewDecoder(response.Body).Decode(result))
 }
 
+// status returns the status of a process.
 func (f *fleet) status(p *process) operator.Status {
 	f.t.Helper()
 	var s operator.Status
@@ -222,7 +229,7 @@
 	return s
 }
 
-// live returns the processes that run.
+// live returns the running processes.
 func (f *fleet) live() []*process {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -237,10 +244,10 @@
 	return result
 }
 
-// waitReady waits until every process knows n ready instances.
+// waitReady waits until every running process knows exactly n ready instances.
 func (f *fleet) waitReady(n int) {
 	f.t.Helper()
-	asserter.Eventually(f.t, fmt.Sprintf("%d instances ready everywhere", n), patience, func() bool {
+	asserter.Eventually(f.t, fmt.Sprintf("%d instances ready everywhere", n), waitLimit, func() bool {
 		for _, p := range f.live() {
 			ready := 0
 			for _, m := range f.status(p).Members {
@@ -256,10 +263,11 @@
 	})
 }
 
-// waitRevision waits until a revision of fieldbook is in force everywhere.
+// waitRevision waits until a revision of fieldbook is in force at every running
+// process.
 func (f *fleet) waitRevision(revision uint64) {
 	f.t.Helper()
-	asserter.Eventually(f.t, "revision in force everywhere", patience, func() bool {
+	asserter.Eventually(f.t, "revision in force everywhere", waitLimit, func() bool {
 		for _, p := range f.live() {
 			for _, s := range f.status(p).Services {
 				if s.Service == "fieldbook" && s.Revision < revision {
@@ -271,6 +279,7 @@
 	})
 }
 
+// entries returns the addresses of the running processes for callers.
 func (f *fleet) entries() []string {
 	var result []string
 	for _, p := range f.live() {
@@ -279,20 +288,20 @@
 	return result
 }
 
-// stop ends a process gracefully and waits for it.
+// stop shuts a process down gracefully and waits until it exits.
 func (f *fleet) stop(p *process) {
 	f.t.Helper()
 	_ = p.cmd.Process.Signal(os.Interrupt)
 	select {
 	case <-p.exited:
-	case <-time.After(patience):
-		f.t.Errorf("%s: got no exit in %v", p.name, patience)
+	case <-time.After(waitLimit):
+		f.t.Errorf("%s: did not exit within %v", p.name, waitLimit)
 		return
 	}
 	asserter.Equal(f.t, p.name+" exit code", p.cmd.ProcessState.ExitCode(), 0)
 }
 
-// stopAll ends all processes gracefully.
+// stopAll shuts all running processes down gracefully and concurrently.
 func (f *fleet) stopAll() {
 	f.t.Helper()
 	var group sync.WaitGroup
@@ -306,7 +315,7 @@
 	group.Wait()
 }
 
-// kill ends a process at once.
+// kill kills a process and waits until it exits.
 func (f *fleet) kill(p *process) {
 	_ = p.cmd.Process.Kill()
 	<-p.exited
@@ -321,7 +330,7 @@
 	}
 }
 
-// cut stops one direction of the links that a process accepted.
+// cut blocks one direction of the links that a process accepted.
 func (f *fleet) cut(p *process, direction string) {
 	f.t.Helper()
 	toxic := fmt.Sprintf(`{"name":"cut","type":"timeout","stream":%q,"attributes":{"timeout":0}}`, direction)
@@ -329,9 +338,10 @@
 	asserter.NoError(f.t, "cut", err)
 }
 
+// heal restores the links of a process after cut.
 func (f *fleet) heal(p *process) { p.proxy.Toxics.ResetToxics(context.Background()) }
 
-// traffic sends work until it is stopped, and checks the promises then.
+// traffic sends requests until finish is called, which checks the guarantees.
 type traffic struct {
 	f      *fleet
 	caller *caller.Caller
@@ -340,12 +350,17 @@
 
 	mu                                     sync.Mutex
 	served, failed, refused, unknown, sent int
-	keyed, notRun                          []string
-	bad                                    []string
-	reasons                                map[string]int
+	// keyed and notRun hold the tokens of the requests with an idempotency key
+	// and of those refused as not run.
+	keyed, notRun []string
+	// corrupt holds the tokens of the requests whose response was truncated or
+	// belonged to another request.
+	corrupt []string
+	// reasons counts refusals by reason and outcome.
+	reasons map[string]int
 }
 
-// newTraffic starts workers that send visits and bookings.
+// newTraffic starts workers that send visits, and a booking as every fourth request.
 func newTraffic(f *fleet, workers int) *traffic {
 	ctx, cancel := context.WithCancel(context.Background())
 	x := &traffic{f: f, caller: caller.New(f.entries(), domains[0]), cancel: cancel, reasons: make(map[string]int)}
@@ -362,11 +377,13 @@
 	return x
 }
 
+// send sends one request and records its outcome. Bookings carry an idempotency key,
+// and visits are repeatable.
 func (x *traffic) send(token string, booking bool) {
 	token = strings.ReplaceAll(token, "/", "-")
 	w := caller.Work{
 		Service: "fieldbook", Method: http.MethodGet, Path: "/visits?size=200&token=" + token,
-		Repeatable: !booking, Keyed: booking, Unique: token, Timeout: patience,
+		Repeatable: !booking, Keyed: booking, Unique: token, Timeout: waitLimit,
 	}
 	if booking {
 		w.Method = http.MethodPost
@@ -392,12 +409,13 @@
 	default:
 		x.served++
 		if string(result.Body) != imitator.Body(token, 200) {
-			x.bad = append(x.bad, token)
+			x.corrupt = append(x.corrupt, token)
 		}
 	}
 }
 
-// finish stops the work and checks every promise.
+// finish stops the workers and checks that no keyed request ran twice, that no request
+// refused as not run ran, and that every response was complete.
 func (x *traffic) finish() {
 	x.f.t.Helper()
 	x.cancel()
@@ -414,7 +432,7 @@
 	for _, k := range x.notRun {
 		asserter.Equal(x.f.t, "runs of refused "+k, runs[k], 0)
 	}
-	asserter.Equal(x.f.t, "answers not whole or not their caller's", len(x.bad), 0)
-	asserter.True(x.f.t, "work was served", x.served > 0)
+	asserter.Equal(x.f.t, "responses truncated or of another request", len(x.corrupt), 0)
+	asserter.True(x.f.t, "some requests were served", x.served > 0)
 	x.f.t.Logf("sent %d served %d failed %d refused %d unknown %d, reasons %v", x.sent, x.served, x.failed, x.refused, x.unknown, x.reasons)
 }
--- a/platform_test.go
+++ b/platform_test.go
@@ -18,7 +18,8 @@
 	"monsoonswitch/asserter"
 )
 
-// platformFleet is a number of processes on a stand-in of the operators' platform.
+// platformFleet is a fleet of serve processes that read their routes from a stand-in
+// of the operators' platform. The address is that of the platform's store.
 type platformFleet struct {
 	t         *testing.T
 	store     *platformStore
@@ -28,13 +29,14 @@
 	seeds     []string
 }
 
-// platformInstance is one process, which can be started again.
+// platformInstance is one serve process, which can be restarted with the same
+// settings file and addresses.
 type platformInstance struct {
 	name, front, inner, settings string
 	cmd                          *exec.Cmd
 }
 
-// freeAddress returns an address that nobody listens on.
+// freeAddress returns a loopback address on which no process listens.
 func freeAddress(t *testing.T) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	asserter.NoError(t, "listen", err)
@@ -43,7 +45,8 @@
 	return address
 }
 
-// routing is a configuration with one route for each service.
+// routing returns a routing configuration. Each service gets a route for safe requests
+// with three attempts and one for unsafe requests with one attempt.
 func routing(version int, services ...string) map[string]any {
 	var routes, list [][]any
 	for _, s := range services {
@@ -59,6 +62,8 @@
 	}
 }
 
+// newPlatformFleet starts a fleet and waits until every instance serves requests. The
+// store also holds a malformed entry, which the instances have to ignore.
 func newPlatformFleet(t *testing.T, instances, backends int) *platformFleet {
 	f := &platformFleet{t: t, store: newPlatformStore()}
 	server := httptest.NewServer(f.store)
@@ -83,6 +88,7 @@
 	return f
 }
 
+// add writes the settings of the i-th instance.
 func (f *platformFleet) add(i int) {
 	p := &platformInstance{name: fmt.Sprintf("entry-%d", i), front: freeAddress(f.t), inner: freeAddress(f.t)}
 	f.seeds = append(f.seeds, p.inner)
@@ -118,12 +124,13 @@
 	f.instances = append(f.instances, p)
 }
 
+// start starts the process of an instance.
 func (f *platformFleet) start(p *platformInstance) {
 	p.cmd = exec.Command(binary, "serve", "--settings", p.settings)
 	asserter.NoError(f.t, "start", p.cmd.Start())
 }
 
-// kill ends a process at once.
+// kill kills a process and waits until it exits.
 func (f *platformFleet) kill(p *platformInstance) {
 	_ = p.cmd.Process.Kill()
 	_ = p.cmd.Wait()
@@ -135,33 +142,37 @@
 	}
 }
 
-// waitServed waits until every instance serves and names others.
+// waitServed waits until every instance serves requests and resolves addresses.
 func (f *platformFleet) waitServed() {
 	f.t.Helper()
 	for _, p := range f.instances {
-		asserter.Eventually(f.t, p.name+" serves", patience, func() bool {
+		asserter.Eventually(f.t, p.name+" serves", waitLimit, func() bool {
 			status, _ := f.get(p, "/resolve?name=ledger.example&zone=a")
-			served, _ := f.ask(p, "GET", "ledger.example", "/safe/x", "")
+			served, _ := f.send(p, "GET", "ledger.example", "/safe/x", "")
 			return status == 200 && served == 200
 		})
 	}
 }
 
+// get sends a GET request without a host to an instance.
 func (f *platformFleet) get(p *platformInstance, path string) (int, string) {
 	return f.do(p, "GET", "", path, "", 2000)
 }
 
+// requests counts the requests sent, to give each its own identifier.
 var requests struct {
 	mu sync.Mutex
 	n  int
 }
 
-// ask sends a request with an identifier of its own.
-func (f *platformFleet) ask(p *platformInstance, method, host, path, body string) (int, string) {
+// send sends a request with a deadline of 2 s and returns the status and the body.
+func (f *platformFleet) send(p *platformInstance, method, host, path, body string) (int, string) {
 	return f.do(p, method, host, path, body, 2000)
 }
 
-func (f *platformFleet) do(p *platformInstance, method, host, path, body string, deadline int) (int, string) {
+// do sends a request with an identifier of its own and a deadline in milliseconds. It
+// returns the status and the body, or 0 and the error.
+func (f *platformFleet) do(p *platformInstance, method, host, path, body string, deadlineMillis int) (int, string) {
 	requests.mu.Lock()
 	requests.n++
 	id := fmt.Sprintf("id%d", requests.n)
@@ -170,7 +181,7 @@
 	asserter.NoError(f.t, "request", err)
 	r.Host = host
 	r.Header.Set("Request-Id", id)
-	r.Header.Set("Deadline-Ms", fmt.Sprint(deadline))
+	r.Header.Set("Deadline-Ms", fmt.Sprint(deadlineMillis))
 	response, err := http.DefaultClient.Do(r)
 	if err != nil {
 		return 0, err.Error()
@@ -183,94 +194,99 @@
 	return response.StatusCode, string(data)
 }
 
+// TestPlatformServes checks that requests follow the routes in the platform's store,
+// that older routing versions are ignored, and that instances recover when the store
+// no longer holds the history that they watch.
 func TestPlatformServes(t *testing.T) {
 	f := newPlatformFleet(t, 3, 4)
-	t.Run("by host and path, as the backend server said it", func(t *testing.T) {
-		status, body := f.ask(f.instances[1], "POST", "ledger.example:80", "/once/a", "work")
+	t.Run("a response passes unchanged by host and path", func(t *testing.T) {
+		status, body := f.send(f.instances[1], "POST", "ledger.example:80", "/once/a", "work")
 		asserter.Equal(t, "status", status, 200)
 		asserter.Equal(t, "body", body, "POST /once/a by ledger")
 	})
-	t.Run("no route is certain", func(t *testing.T) {
-		asserter.Eventually(t, "answered so", patience, func() bool {
-			status, _ := f.ask(f.instances[0], "GET", "ledger.example", "/other/", "")
+	t.Run("a missing route is answered with 404", func(t *testing.T) {
+		asserter.Eventually(t, "status 404", waitLimit, func() bool {
+			status, _ := f.send(f.instances[0], "GET", "ledger.example", "/other/", "")
 			return status == 404
 		})
 	})
-	t.Run("a new route is in force everywhere and never goes back", func(t *testing.T) {
+	t.Run("a new route is in force at all instances and older versions are ignored", func(t *testing.T) {
 		b := newPlatformBackend("billing", 0)
 		t.Cleanup(b.server.Close)
 		f.store.set("servers/"+b.id, b.entry("ready"))
 		f.store.set("op/config", routing(4, "ledger", "billing"))
 		for _, p := range f.instances {
-			asserter.Eventually(t, p.name, patience, func() bool {
-				status, _ := f.ask(p, "GET", "billing.example", "/safe/", "")
+			asserter.Eventually(t, p.name, waitLimit, func() bool {
+				status, _ := f.send(p, "GET", "billing.example", "/safe/", "")
 				return status == 200
 			})
 		}
 		f.store.set("op/config", routing(3, "ledger"))
 		time.Sleep(time.Second)
 		for _, p := range f.instances {
-			status, _ := f.ask(p, "GET", "billing.example", "/safe/", "")
+			status, _ := f.send(p, "GET", "billing.example", "/safe/", "")
 			asserter.Equal(t, "after an older version", status, 200)
 		}
 	})
-	t.Run("the history is forgotten", func(t *testing.T) {
-		f.store.forget()
+	t.Run("the store drops its history", func(t *testing.T) {
+		f.store.dropHistory()
 		b := newPlatformBackend("audit", 0)
 		t.Cleanup(b.server.Close)
 		f.store.set("servers/"+b.id, b.entry("ready"))
 		f.store.set("op/config", routing(6, "ledger", "billing", "audit"))
 		for _, p := range f.instances {
-			asserter.Eventually(t, p.name, patience, func() bool {
-				status, _ := f.ask(p, "GET", "audit.example", "/safe/", "")
+			asserter.Eventually(t, p.name, waitLimit, func() bool {
+				status, _ := f.send(p, "GET", "audit.example", "/safe/", "")
 				return status == 200
 			})
 		}
 	})
 }
 
+// TestPlatformBackends checks how instances treat backend servers that shed, fail,
+// drain or have moved: no request is lost or runs twice.
 func TestPlatformBackends(t *testing.T) {
 	f := newPlatformFleet(t, 3, 5)
-	runs := func() (total, most int) {
+	runs := func() (total, maximum int) {
 		for _, b := range f.backends {
 			n, m := b.counts()
 			total += n
-			most = max(most, m)
+			maximum = max(maximum, m)
 		}
-		return total, most
+		return total, maximum
 	}
-	t.Run("a refusal that says not run is true, and other work goes elsewhere", func(t *testing.T) {
-		// An instance that starts has no retries; these come with time.
+	t.Run("shed requests did not run and are served by other backend servers", func(t *testing.T) {
+		// A started instance has an empty retry budget, which grows with time.
 		time.Sleep(2 * time.Second)
 		before, _ := runs()
 		f.backends[0].set(func(b *platformBackend) { b.shed = true })
 		for i := range 40 {
-			status, _ := f.ask(f.instances[i%3], "POST", "ledger.example", "/once/a", "work")
+			status, _ := f.send(f.instances[i%3], "POST", "ledger.example", "/once/a", "work")
 			asserter.Equal(t, "status", status, 200)
 		}
 		after, _ := runs()
 		asserter.Equal(t, "runs", after-before, 40)
 		f.backends[0].set(func(b *platformBackend) { b.shed = false })
 	})
-	t.Run("a gray one gets little work, and none runs twice", func(t *testing.T) {
+	t.Run("a gray backend server gets few requests, and none runs twice", func(t *testing.T) {
 		f.backends[1].set(func(b *platformBackend) { b.gray = true })
 		before, _ := f.backends[1].counts()
 		for i := range 150 {
-			f.ask(f.instances[i%3], "POST", "ledger.example", "/once/a", "work")
+			f.send(f.instances[i%3], "POST", "ledger.example", "/once/a", "work")
 		}
 		after, _ := f.backends[1].counts()
-		asserter.AtMost(t, "requests at the gray one, of 150", after-before, 15)
-		_, most := runs()
-		asserter.Equal(t, "runs of one request", most, 1)
+		asserter.AtMost(t, "requests at the gray backend server, of 150", after-before, 15)
+		_, maximum := runs()
+		asserter.Equal(t, "runs of one request", maximum, 1)
 		f.backends[1].set(func(b *platformBackend) { b.gray = false })
 	})
-	t.Run("a leaving one gets nothing more, also by a delayed entry", func(t *testing.T) {
+	t.Run("a draining backend server gets no new requests, even after an outdated entry", func(t *testing.T) {
 		b := f.backends[2]
 		f.store.set("servers/"+b.id, b.entry("draining"))
-		asserter.Eventually(t, "left alone", patience, func() bool {
+		asserter.Eventually(t, "no new requests", waitLimit, func() bool {
 			before, _ := b.counts()
 			for i := range 30 {
-				f.ask(f.instances[i%3], "GET", "ledger.example", "/safe/a", "")
+				f.send(f.instances[i%3], "GET", "ledger.example", "/safe/a", "")
 			}
 			after, _ := b.counts()
 			return before == after
@@ -279,47 +295,50 @@
 		time.Sleep(time.Second)
 		since := time.Now()
 		for i := range 90 {
-			f.ask(f.instances[i%3], "GET", "ledger.example", "/safe/a", "")
+			f.send(f.instances[i%3], "GET", "ledger.example", "/safe/a", "")
 		}
 		f.store.drop("servers/" + b.id)
 		time.Sleep(time.Second)
 		for i := range 30 {
-			f.ask(f.instances[i%3], "GET", "ledger.example", "/safe/a", "")
+			f.send(f.instances[i%3], "GET", "ledger.example", "/safe/a", "")
 		}
 		b.mu.Lock()
 		defer b.mu.Unlock()
-		asserter.True(t, "nothing later", b.last.Before(since))
+		asserter.True(t, "no requests after the outdated entry", b.last.Before(since))
 	})
-	t.Run("an address that another service has", func(t *testing.T) {
+	t.Run("an address that is now used by another backend server", func(t *testing.T) {
 		b := f.backends[3]
 		b.set(func(b *platformBackend) { b.id = "i-other" })
 		for i := range 40 {
-			status, _ := f.ask(f.instances[i%3], "POST", "ledger.example", "/once/a", "work")
+			status, _ := f.send(f.instances[i%3], "POST", "ledger.example", "/once/a", "work")
 			asserter.Equal(t, "status", status, 200)
 		}
 	})
 }
 
+// TestPlatformOutage checks that instances keep serving while the platform's store is
+// down, that a restarted instance gets its state from the others, and that a missing
+// route is then answered with 503, since the routes may be outdated.
 func TestPlatformOutage(t *testing.T) {
 	f := newPlatformFleet(t, 4, 3)
 	f.store.setDown(true)
-	t.Run("serves on", func(t *testing.T) {
+	t.Run("instances keep serving", func(t *testing.T) {
 		time.Sleep(1500 * time.Millisecond)
 		for _, p := range f.instances {
-			status, _ := f.ask(p, "POST", "ledger.example", "/once/a", "work")
+			status, _ := f.send(p, "POST", "ledger.example", "/once/a", "work")
 			asserter.Equal(t, p.name, status, 200)
 		}
 	})
-	t.Run("one that starts learns from the others", func(*testing.T) {
+	t.Run("a restarted instance gets its state from the others", func(*testing.T) {
 		f.kill(f.instances[3])
 		f.start(f.instances[3])
 		f.waitServed()
 	})
-	t.Run("no route is not certain", func(t *testing.T) {
-		status, _ := f.ask(f.instances[0], "GET", "ledger.example", "/new/", "")
+	t.Run("a missing route is answered with 503", func(t *testing.T) {
+		status, _ := f.send(f.instances[0], "GET", "ledger.example", "/new/", "")
 		asserter.Equal(t, "status", status, 503)
 	})
-	t.Run("all killed at once come back with the store", func(*testing.T) {
+	t.Run("all instances restart once the store is available", func(*testing.T) {
 		f.killAll()
 		for _, p := range f.instances {
 			f.start(p)
@@ -329,37 +348,39 @@
 	})
 }
 
+// TestPlatformShutdown checks that an instance completes its requests in flight during
+// a shutdown, and that it becomes unready and is no longer resolved by the others.
 func TestPlatformShutdown(t *testing.T) {
 	f := newPlatformFleet(t, 3, 4)
 	for _, b := range f.backends {
-		b.set(func(b *platformBackend) { b.work = 300 * time.Millisecond })
+		b.set(func(b *platformBackend) { b.serviceTime = 300 * time.Millisecond })
 	}
-	var wait sync.WaitGroup
+	var group sync.WaitGroup
 	var mu sync.Mutex
-	bad := 0
+	failed := 0
 	leaving := f.instances[0]
 	for range 6 {
-		wait.Add(1)
+		group.Add(1)
 		go func() {
-			defer wait.Done()
+			defer group.Done()
 			status, _ := f.do(leaving, "POST", "ledger.example", "/once/a", "work", 30000)
 			mu.Lock()
 			defer mu.Unlock()
 			if status != 200 {
-				bad++
+				failed++
 			}
 		}()
 	}
 	time.Sleep(100 * time.Millisecond)
 	asserter.NoError(t, "signal", leaving.cmd.Process.Signal(syscall.SIGTERM))
-	asserter.Eventually(t, "not ready", patience, func() bool {
+	asserter.Eventually(t, "not ready", waitLimit, func() bool {
 		status, _ := f.get(leaving, "/readiness")
 		return status == 503
 	})
-	wait.Wait()
-	asserter.Equal(t, "requests cut", bad, 0)
+	group.Wait()
+	asserter.Equal(t, "failed requests", failed, 0)
 	asserter.NoError(t, "exit", leaving.cmd.Wait())
-	asserter.Eventually(t, "others do not name it", patience, func() bool {
+	asserter.Eventually(t, "others no longer resolve to it", waitLimit, func() bool {
 		_, body := f.get(f.instances[1], "/resolve?name=x&zone=a")
 		return body != "" && !strings.Contains(body, leaving.front)
 	})
--- a/standin_test.go
+++ b/standin_test.go
@@ -13,7 +13,7 @@
 	"time"
 )
 
-// wireItem is an item of the platform's store as it goes over the wire.
+// wireItem is an item of the platform's store in its JSON form.
 type wireItem struct {
 	Key      string `json:"key"`
 	Value    []byte `json:"value"`
@@ -23,15 +23,16 @@
 	Deleted  bool   `json:"deleted,omitempty"`
 }
 
-// platformStore is a stand-in of the platform's store.
+// platformStore is a stand-in for the platform's store.
 type platformStore struct {
 	mu       sync.Mutex
 	items    map[string]wireItem
 	events   []wireItem
 	revision uint64
-	changed  chan struct{}
-	down     bool
-	// oldest is the first revision of the history that is kept.
+	// changed is closed and replaced at each change.
+	changed chan struct{}
+	down    bool
+	// oldest is the oldest revision in the history.
 	oldest uint64
 	calls  int
 }
@@ -40,7 +41,7 @@
 	return &platformStore{items: make(map[string]wireItem), changed: make(chan struct{}), revision: 1, oldest: 1}
 }
 
-// set writes a value as the operator or a backend server does.
+// set writes a value.
 func (s *platformStore) set(key string, value any) {
 	data, _ := json.Marshal(value)
 	s.change(wireItem{Key: key, Value: data})
@@ -49,6 +50,7 @@
 // drop removes a key.
 func (s *platformStore) drop(key string) { s.change(wireItem{Key: key, Deleted: true}) }
 
+// change applies a change and adds it to the history.
 func (s *platformStore) change(i wireItem) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -71,17 +73,19 @@
 	s.down = down
 }
 
-// forget drops the history.
-func (s *platformStore) forget() {
+// dropHistory removes all events, so that a watch from an older revision gets status
+// 410.
+func (s *platformStore) dropHistory() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.events = nil
 	s.oldest = s.revision + 1
 }
 
-// pageSize is small, so that pages must be followed.
+// pageSize is small, so that the tests cover lists of several pages.
 const pageSize = 3
 
+// ServeHTTP implements http.Handler.
 func (s *platformStore) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
 	s.calls++
@@ -104,6 +108,7 @@
 	}
 }
 
+// serveRange writes one page of the items under a prefix.
 func (s *platformStore) serveRange(w http.ResponseWriter, prefix, after string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -119,12 +124,14 @@
 	_ = json.NewEncoder(w).Encode(map[string]any{"items": list, "has_more": more, "current_rev": s.revision})
 }
 
+// serveWatch writes the events under a prefix after a revision. It waits for one if
+// there is none.
 func (s *platformStore) serveWatch(w http.ResponseWriter, r *http.Request, prefix string, after uint64, wait time.Duration) {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	for {
 		s.mu.Lock()
-		gone, changed, current := after+1 < s.oldest, s.changed, s.revision
+		historyGone, changed, current := after+1 < s.oldest, s.changed, s.revision
 		var list []wireItem
 		for _, e := range s.events {
 			if strings.HasPrefix(e.Key, prefix) && e.Revision > after {
@@ -132,7 +139,7 @@
 			}
 		}
 		s.mu.Unlock()
-		if gone {
+		if historyGone {
 			w.WriteHeader(http.StatusGone)
 			return
 		}
@@ -150,27 +157,31 @@
 	}
 }
 
-// platformBackend is a stand-in of a backend server on the platform.
+// platformBackend is a stand-in for a backend server on the platform.
 type platformBackend struct {
 	id, service string
 	server      *httptest.Server
 
 	mu sync.Mutex
-	// runs counts how often each request ran.
+	// runs counts the runs by the identifier of the request.
 	runs map[string]int
-	// gray makes it fail all work at once; shed makes it refuse all work.
+	// gray makes all requests fail immediately with status 500; shed makes it
+	// refuse all requests as not run.
 	gray, shed bool
-	// work is how long a request runs.
-	work time.Duration
+	// serviceTime is how long a request runs.
+	serviceTime time.Duration
+	// last is the start of the last request that ran.
 	last time.Time
 }
 
+// newPlatformBackend starts the n-th backend server of a service.
 func newPlatformBackend(service string, n int) *platformBackend {
-	b := &platformBackend{id: fmt.Sprintf("i-%s-%d", service, n), service: service, runs: make(map[string]int), work: 5 * time.Millisecond}
+	b := &platformBackend{id: fmt.Sprintf("i-%s-%d", service, n), service: service, runs: make(map[string]int), serviceTime: 5 * time.Millisecond}
 	b.server = httptest.NewServer(b)
 	return b
 }
 
+// entry returns the value that the backend server stores under its key.
 func (b *platformBackend) entry(state string) map[string]any {
 	return map[string]any{
 		"service": b.service, "address": strings.TrimPrefix(b.server.URL, "http://"), "zone": "a",
@@ -178,9 +189,11 @@
 	}
 }
 
-// signature marks the answers of a backend server.
+// signature is the header value that marks responses as those of a backend server.
 const signature = "stand-in"
 
+// ServeHTTP implements http.Handler. It refuses requests for another instance with
+// status 421.
 func (b *platformBackend) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	_, _ = io.Copy(io.Discard, r.Body)
 	id := r.Header.Get("Request-Id")
@@ -191,7 +204,7 @@
 		return
 	}
 	b.mu.Lock()
-	gray, shed, work := b.gray, b.shed, b.work
+	gray, shed, serviceTime := b.gray, b.shed, b.serviceTime
 	if !shed {
 		b.runs[id]++
 		b.last = time.Now()
@@ -208,24 +221,25 @@
 		w.WriteHeader(http.StatusInternalServerError)
 		return
 	}
-	time.Sleep(work)
+	time.Sleep(serviceTime)
 	fmt.Fprintf(w, "%s %s by %s", r.Method, r.URL.Path, b.service)
 }
 
-// set changes how the backend server behaves.
+// set changes the behavior of the backend server.
 func (b *platformBackend) set(change func(*platformBackend)) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	change(b)
 }
 
-// counts returns the number of requests that ran and the most runs of one.
-func (b *platformBackend) counts() (total, most int) {
+// counts returns the total number of runs and the largest number of runs of one
+// request.
+func (b *platformBackend) counts() (total, maximum int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, n := range b.runs {
 		total += n
-		most = max(most, n)
+		maximum = max(maximum, n)
 	}
-	return total, most
+	return total, maximum
 }
