--- a/assembler/assembler.go
+++ b/assembler/assembler.go
@@ -1,4 +1,4 @@
-// Package assembler runs a complete fleet in one process, with stand-ins for the
+// Package assembler runs a complete fleet in one process, with standIn-ins for the
 // platform and the backend servers. The demo, experiments and tests use it.
 package assembler
 
@@ -64,15 +64,15 @@
 }
 
 // Backend is a backend server of the fleet. Listed is its entry in the platform's
-// list, Stand its stand-in.
+// list, StandIn its standIn-in.
 type Backend struct {
 	Service string
 	Listed  descriptor.Backend
-	Stand   *imitator.Backend
+	StandIn *imitator.Backend
 	process *imitator.Process
 }
 
-// Fleet is a running fleet. Store is the platform's stand-in and Client a client of
+// Fleet is a running fleet. Store is the platform's standIn-in and Client a client of
 // it.
 type Fleet struct {
 	options      Options
@@ -129,8 +129,8 @@
 func (f *Fleet) startBackend(g Group, i int) (*Backend, error) {
 	options := g.Options
 	options.Seed += uint64(i)
-	stand := imitator.NewBackend(options, time.Now())
-	process, err := imitator.ServeBackend(stand, loopback)
+	standIn := imitator.NewBackend(options, time.Now())
+	process, err := imitator.ServeBackend(standIn, loopback)
 	if err != nil {
 		return nil, err
 	}
@@ -140,7 +140,7 @@
 		Domain:  f.options.Domains[i%len(f.options.Domains)],
 		Slots:   options.Slots,
 	}
-	return &Backend{Service: g.Service, Listed: listed, Stand: stand, process: process}, nil
+	return &Backend{Service: g.Service, Listed: listed, StandIn: standIn, process: process}, nil
 }
 
 // declare writes the declarations to the store.
@@ -325,7 +325,7 @@
 	f.mu.Unlock()
 }
 
-// Close stops the instances, stand-ins and proxies immediately.
+// Close stops the instances, standIn-ins and proxies immediately.
 func (f *Fleet) Close() {
 	for _, s := range f.Servers() {
 		s.Close()
--- a/caller/caller.go
+++ b/caller/caller.go
@@ -47,10 +47,10 @@
 	Method  string
 	// Path is the URL path with the query.
 	Path string
-	// Keyed reports whether the request carries an idempotency key. Unique
+	// Keyed reports whether the request carries an idempotency key. KeySuffix
 	// distinguishes it from the other keys of this caller.
-	Keyed  bool
-	Unique string
+	Keyed     bool
+	KeySuffix string
 	// Repeatable reports whether the request may be sent again after its response
 	// was truncated or missing.
 	Repeatable bool
@@ -219,7 +219,7 @@
 	}
 	result := Result{}
 	if w.Keyed {
-		result.Key = list[0].Ticket + "." + w.Unique
+		result.Key = list[0].Ticket + "." + w.KeySuffix
 	}
 	for i := 0; i < len(list) && result.Tries < maxTries; i++ {
 		result.Tries++
--- a/cli_test.go
+++ b/cli_test.go
@@ -57,7 +57,7 @@
 	out, got := run(t, args...)
 	asserter.Equal(t, strings.Join(args, " ")+": exit code", got, code)
 	if !strings.Contains(out, text) {
-		t.Errorf("%v: got %q, want it to mention %q", args, out, text)
+		t.Errorf("%v: got %q, want it to contain %q", args, out, text)
 	}
 	return out
 }
--- a/commander/demo.go
+++ b/commander/demo.go
@@ -45,7 +45,7 @@
 	if err := write(out); err != nil {
 		return err
 	}
-	if !result.Held() {
+	if !result.GuaranteesHeld() {
 		return eris.Wrap(errViolation, result.Scenario)
 	}
 	return nil
--- a/loader/fleet.go
+++ b/loader/fleet.go
@@ -95,10 +95,10 @@
 func (b localBackend) ID() string { return b.Listed.ID }
 
 // SetFault implements backend.
-func (b localBackend) SetFault(f imitator.BackendFault) { b.Stand.SetFault(f, time.Now()) }
+func (b localBackend) SetFault(f imitator.BackendFault) { b.StandIn.SetFault(f, time.Now()) }
 
 // Counts implements backend.
-func (b localBackend) Counts() imitator.BackendCounts { return b.Stand.Counts() }
+func (b localBackend) Counts() imitator.BackendCounts { return b.StandIn.Counts() }
 
 // Backends implements fleet.
 func (l localFleet) Backends() []backend {
--- a/loader/html.go
+++ b/loader/html.go
@@ -17,7 +17,7 @@
 }
 
 var resultTemplate = template.Must(template.New("result").Funcs(template.FuncMap{
-	"duration": durationText, "reasons": reasonsText, "held": Result.Held,
+	"duration": durationText, "reasons": reasonsText, "held": Result.GuaranteesHeld,
 }).Parse(`<!DOCTYPE html>
 <html lang="en"><head><meta charset="utf-8"><title>{{.Scenario}}</title>
 <style>
--- a/loader/monitor.go
+++ b/loader/monitor.go
@@ -32,7 +32,7 @@
 }
 
 // drainLimit is the time after which a draining backend server must not receive new
-// work.
+// requests.
 const drainLimit = 2 * time.Second
 
 // Ejection is one observed ejection. Second is its time in seconds from the start
@@ -58,7 +58,7 @@
 	// seen holds the start of the last ejection of each SERVICE/BACKEND.
 	seen      map[string]time.Time
 	ejections []Ejection
-	// breaches counts checks that found fewer backend servers than the floor.
+	// breaches counts the checks that found fewer backend servers than the floor.
 	breaches int
 	// active is the number of ejections in force at the last check.
 	active int
--- a/loader/record.go
+++ b/loader/record.go
@@ -24,15 +24,16 @@
 	tries                                                   uint64
 	reasons                                                 map[string]uint64
 	latency                                                 *hdrhistogram.Histogram
-	// lateRefusals counts work refused as overloaded after its target.
+	// lateRefusals counts requests refused as overloaded after their class's
+	// target.
 	lateRefusals uint64
 	// corrupt counts answers that were truncated or belonged to another request.
 	corrupt uint64
-	// perSecond holds the outcomes by the second in which the work was sent.
+	// perSecond holds the outcomes by the second in which the request was sent.
 	perSecond []second
 }
 
-// second counts the outcomes of the work sent in one second.
+// second counts the outcomes of the requests sent in one second.
 type second struct {
 	served, refused uint64
 	latency         *hdrhistogram.Histogram
@@ -48,8 +49,12 @@
 // record collects the outcomes that callers observed. It is safe for use by many
 // goroutines.
 type record struct {
-	mu      sync.Mutex
+	mu sync.Mutex
+	// tallies and targets hold the tally and the latency target of each kind of
+	// work.
 	tallies []tally
+	// keyed lists the requests with an idempotency key, notRun those refused as
+	// not run.
 	keyed   []token
 	notRun  []token
 	targets []time.Duration
@@ -79,7 +84,7 @@
 	return hdrhistogram.New(histogramLow, histogramHigh, histogramDigits)
 }
 
-// skip counts work that was not sent because too much was in flight.
+// skip counts a request that was not sent because too many were in flight.
 func (r *record) skip(index int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/loader/result.go
+++ b/loader/result.go
@@ -36,7 +36,7 @@
 	Seconds    []SecondResult    `json:"seconds"`
 }
 
-// SecondResult holds the outcomes of the work sent in one second.
+// SecondResult holds the outcomes of the requests sent in one second.
 type SecondResult struct {
 	Served  uint64        `json:"served"`
 	Refused uint64        `json:"refused"`
@@ -73,8 +73,8 @@
 	Tries    uint64 `json:"tries"`
 }
 
-// Held reports whether every guarantee held.
-func (r Result) Held() bool { return len(r.Violations) == 0 }
+// GuaranteesHeld reports whether every guarantee held.
+func (r Result) GuaranteesHeld() bool { return len(r.Violations) == 0 }
 
 func (r *Runner) result() Result {
 	result := Result{Scenario: r.scenario.Name, Policy: r.scenario.Policy}
@@ -256,7 +256,7 @@
 	for _, v := range r.Violations {
 		fmt.Fprintf(w, "BROKEN PROMISE\t%s\n", v)
 	}
-	if r.Held() {
+	if r.GuaranteesHeld() {
 		fmt.Fprintln(w, "promises\tall held")
 	}
 	return eris.Wrap(w.Flush(), "write result")
--- a/loader/run.go
+++ b/loader/run.go
@@ -178,7 +178,7 @@
 	}
 }
 
-// rateAt returns the rate of work at a time, in requests a second.
+// rateAt returns the rate of a kind of work at a time, in requests a second.
 func (r *Runner) rateAt(w Work, now time.Time) float64 {
 	at := now.Sub(r.started)
 	if at >= w.PeakFrom && at < w.PeakTo {
@@ -201,7 +201,7 @@
 		Method:     w.Method,
 		Path:       path,
 		Keyed:      w.Keyed,
-		Unique:     token,
+		KeySuffix:  token,
 		Repeatable: w.Idempotent,
 		Name:       name,
 		Timeout:    w.Timeout,
--- a/loader/scenario.go
+++ b/loader/scenario.go
@@ -1,4 +1,4 @@
-// Package loader runs load experiments: callers send work to a fleet while faults
+// Package loader runs load experiments: callers send requests to a fleet while faults
 // are injected on a schedule. It then checks the fleet's guarantees against the
 // counts of callers and backend servers.
 package loader
@@ -102,7 +102,7 @@
 	// instance.
 	Service string
 	Index   int
-	// Share is the affected share of work from 0 to 1, and Time the delay or
+	// Share is the affected share of requests from 0 to 1, and Time the delay or
 	// period, for the kinds that use them.
 	Share float64
 	Time  time.Duration
--- a/main_test.go
+++ b/main_test.go
@@ -383,7 +383,7 @@
 	token = strings.ReplaceAll(token, "/", "-")
 	w := caller.Work{
 		Service: "fieldbook", Method: http.MethodGet, Path: "/visits?size=200&token=" + token,
-		Repeatable: !booking, Keyed: booking, Unique: token, Timeout: waitLimit,
+		Repeatable: !booking, Keyed: booking, KeySuffix: token, Timeout: waitLimit,
 	}
 	if booking {
 		w.Method = http.MethodPost
