--- a/assembler/assembler.go
+++ b/assembler/assembler.go
@@ -1,4 +1,4 @@
-// Package assembler runs a complete fleet in one process, with standIn-ins for the
+// Package assembler runs a complete fleet in one process, with stand-ins for the
 // platform and the backend servers. The demo, experiments and tests use it.
 package assembler
 
@@ -64,7 +64,7 @@
 }
 
 // Backend is a backend server of the fleet. Listed is its entry in the platform's
-// list, StandIn its standIn-in.
+// list, StandIn its stand-in.
 type Backend struct {
 	Service string
 	Listed  descriptor.Backend
@@ -72,7 +72,7 @@
 	process *imitator.Process
 }
 
-// Fleet is a running fleet. Store is the platform's standIn-in and Client a client of
+// Fleet is a running fleet. Store is the platform's stand-in and Client a client of
 // it.
 type Fleet struct {
 	options      Options
@@ -325,7 +325,7 @@
 	f.mu.Unlock()
 }
 
-// Close stops the instances, standIn-ins and proxies immediately.
+// Close stops the instances, stand-ins and proxies immediately.
 func (f *Fleet) Close() {
 	for _, s := range f.Servers() {
 		s.Close()
