--- a/commander/standin.go
+++ b/commander/standin.go
@@ -77,7 +77,7 @@
 	clause.Flag("cold", "Duration of the cold start, in which service times are longer.").DurationVar(&c.options.Cold)
 	clause.Flag("down", "How long it is down after a crash.").Default("1s").DurationVar(&c.options.Down)
 	clause.Flag("seed", "Seed of the service times.").Default("1").Uint64Var(&c.options.Seed)
-	clause.Flag("stall", "Hold all requests for work, while health checks still pass.").BoolVar(&c.fault.Stall)
+	clause.Flag("stall", "Keep requests from completing, while health checks still pass.").BoolVar(&c.fault.Stall)
 	clause.Flag("errors", "Share of requests answered with status 500.").Float64Var(&c.fault.Errors)
 	clause.Flag("cut", "Share of responses that are truncated.").Float64Var(&c.fault.Cut)
 	clause.Flag("late", "Delay of every response.").DurationVar(&c.fault.Late)
--- a/imitator/backend.go
+++ b/imitator/backend.go
@@ -9,7 +9,7 @@
 
 // BackendFault describes the faults of a backend server's stand-in.
 type BackendFault struct {
-	// Stall holds all requests for work, while health checks still pass.
+	// Stall keeps requests from completing, while health checks still pass.
 	Stall bool `json:"stall"`
 	// Errors is the share of requests answered with status 500, from 0 to 1.
 	Errors float64 `json:"errors"`
--- a/imitator/backend_server.go
+++ b/imitator/backend_server.go
@@ -70,7 +70,7 @@
 	if !b.admit() {
 		b.setStateHeaders(w)
 		w.Header().Set("Backend-Refused", "not-run")
-		writeProblem(w, http.StatusServiceUnavailable, errors.New("all slots in use or draining"))
+		writeProblem(w, http.StatusServiceUnavailable, errors.New("backlog full or draining"))
 		return
 	}
 	defer b.release()
