--- a/configurer/identifier.go
+++ b/configurer/identifier.go
@@ -14,7 +14,7 @@
 func identifier(s *parser.Section, key string) string {
 	v := s.Required(key)
 	if v != "" && !identifierPattern.MatchString(v) {
-		s.Fail(key, "%q is no name of lower-case letters, digits and dashes", v)
+		s.Fail(key, "%q is not a valid name: must be 1 to 63 lower-case letters, digits and dashes, not beginning with a dash", v)
 	}
 	return v
 }
--- a/configurer/inner.go
+++ b/configurer/inner.go
@@ -26,6 +26,6 @@
 		Seeds:     s.Addresses("seeds"),
 	}
 	if len(all.Inner.Key) < minKeyBytes {
-		s.Fail("key", "is shorter than %d characters", minKeyBytes)
+		s.Fail("key", "is shorter than %d bytes", minKeyBytes)
 	}
 }
--- a/configurer/settings.go
+++ b/configurer/settings.go
@@ -61,11 +61,11 @@
 	seen := make(map[string]bool)
 	for _, sec := range f.Sections() {
 		if seen[sec.Name()] {
-			return s, eris.Wrapf(ErrInvalid, "%s: [%s]: stands twice", file, sec.Name())
+			return s, eris.Wrapf(ErrInvalid, "%s: [%s]: is declared twice", file, sec.Name())
 		}
 		seen[sec.Name()] = true
 		if _, ok := loaders[sec.Name()]; !ok && (sec.Name() != ini.DefaultSection || len(sec.Keys()) > 0) {
-			return s, eris.Wrapf(ErrInvalid, "%s: [%s]: unknown section; known are %s", file, sec.Name(), sectionNames())
+			return s, eris.Wrapf(ErrInvalid, "%s: [%s]: unknown section; known sections are %s", file, sec.Name(), sectionNames())
 		}
 	}
 	for _, name := range sortedSections() {
--- a/declarer/check.go
+++ b/declarer/check.go
@@ -10,16 +10,16 @@
 func (s Service) Check(file string) error {
 	p := location{file, "service", "name"}
 	if !namePattern.MatchString(s.Name) {
-		return p.errorf("%q is no name of lower-case letters, digits and dashes", s.Name)
+		return p.errorf("%q is not a valid name: must be 1 to 63 lower-case letters, digits and dashes, beginning with a letter", s.Name)
 	}
 	if len(s.Classes) == 0 || len(s.Classes) > MaxClasses {
-		return location{file, "class", "-"}.errorf("a service has 1 to %d classes, not %d", MaxClasses, len(s.Classes))
+		return location{file, "class", "-"}.errorf("a service must have 1 to %d classes, not %d", MaxClasses, len(s.Classes))
 	}
 	if len(s.Routes) > MaxRoutes {
-		return location{file, "route", "-"}.errorf("a service has at most %d routes, not %d", MaxRoutes, len(s.Routes))
+		return location{file, "route", "-"}.errorf("a service must have at most %d routes, not %d", MaxRoutes, len(s.Routes))
 	}
 	if len(s.Routes) == 0 && s.State == Open {
-		return location{file, "route", "-"}.errorf("an open service has a route")
+		return location{file, "route", "-"}.errorf("an open service must have at least one route")
 	}
 	if err := s.checkClasses(file); err != nil {
 		return err
@@ -32,14 +32,14 @@
 	for _, c := range s.Classes {
 		section := "class " + c.Name
 		if !namePattern.MatchString(c.Name) || seen[c.Name] {
-			return location{file, section, "-"}.errorf("%q is no name or stands twice", c.Name)
+			return location{file, section, "-"}.errorf("%q is not a valid name or is declared twice", c.Name)
 		}
 		seen[c.Name] = true
 		if c.Target <= 0 || c.Target > MaxTarget {
-			return location{file, section, "target"}.errorf("%v is not in (0, %v]", c.Target, MaxTarget)
+			return location{file, section, "target"}.errorf("%v is out of range: must be more than 0 and at most %v", c.Target, MaxTarget)
 		}
 		if c.Idempotent && c.Keyless {
-			return location{file, section, "keyless"}.errorf("only non-idempotent work has keys")
+			return location{file, section, "keyless"}.errorf("must not be set for idempotent work, which has no idempotency keys")
 		}
 	}
 	return nil
@@ -50,18 +50,18 @@
 	for _, r := range s.Routes {
 		section := "route " + r.Name
 		if r.Name == "" || seen[r.Name] {
-			return location{file, section, "-"}.errorf("%q is empty or stands twice", r.Name)
+			return location{file, section, "-"}.errorf("name %q is empty or is declared twice", r.Name)
 		}
 		seen[r.Name] = true
 		if !strings.HasPrefix(r.Path, "/") {
 			return location{file, section, "path"}.errorf("%q does not begin with a slash", r.Path)
 		}
 		if strings.HasPrefix(r.Path, "/-/") {
-			return location{file, section, "path"}.errorf("/-/ belongs to the instances")
+			return location{file, section, "path"}.errorf("/-/ is reserved for the instances")
 		}
 		c, ok := s.Class(r.Class)
 		if !ok {
-			return location{file, section, "class"}.errorf("there is no class %q", r.Class)
+			return location{file, section, "class"}.errorf("class %q is not declared", r.Class)
 		}
 		if err := r.checkMethods(file, section, c); err != nil {
 			return err
@@ -79,12 +79,12 @@
 		return nil
 	}
 	if len(r.Methods) == 0 {
-		return p.errorf("a route of non-idempotent work names its methods")
+		return p.errorf("a route for non-idempotent work must list its methods")
 	}
 	for _, m := range r.Methods {
 		switch m {
 		case http.MethodGet, http.MethodHead, http.MethodOptions, http.MethodTrace:
-			return p.errorf("%s can't carry non-idempotent work", m)
+			return p.errorf("%s is not allowed for non-idempotent work", m)
 		}
 	}
 	return nil
--- a/declarer/parse.go
+++ b/declarer/parse.go
@@ -87,7 +87,7 @@
 		return nil, eris.Wrap(err, "list declarations")
 	}
 	if len(files) == 0 {
-		return nil, eris.Wrapf(ErrInvalid, "%s: no .ini file", path)
+		return nil, eris.Wrapf(ErrInvalid, "%s: directory has no .ini files", path)
 	}
 	sort.Strings(files)
 	return files, nil
@@ -96,7 +96,7 @@
 // Parse parses and checks a declaration. Errors name file as the source.
 func Parse(file string, data []byte) (Service, error) {
 	if len(data) > MaxBytes {
-		return Service{}, eris.Wrapf(ErrInvalid, "%s: longer than %d bytes", file, MaxBytes)
+		return Service{}, eris.Wrapf(ErrInvalid, "%s: file is longer than %d bytes", file, MaxBytes)
 	}
 	f, err := parser.Load(file, data, ErrInvalid)
 	if err != nil {
@@ -110,7 +110,7 @@
 			continue
 		}
 		if kind == "service" && found {
-			return Service{}, location{file, "service", "name"}.errorf("a file declares one service")
+			return Service{}, location{file, "service", "name"}.errorf("a file must declare only one service")
 		}
 		found = found || kind == "service"
 		if err := s.addSection(file, kind, name, sec); err != nil {
@@ -157,7 +157,7 @@
 			return st
 		}
 	}
-	r.Fail(key, "%q is none of open, closing, closed", text)
+	r.Fail(key, "%q is not one of open, closing, closed", text)
 	return Open
 }
 
@@ -168,13 +168,13 @@
 	if percent, ok := strings.CutSuffix(text, "%"); ok {
 		v, err := strconv.ParseFloat(percent, 64)
 		if err != nil || !(v > 0 && v <= 100) {
-			r.Fail(key, "%q is no percentage from 0%% to 100%%", text)
+			r.Fail(key, "%q is not a percentage of more than 0%% and at most 100%%", text)
 		}
 		return 1, v / 100
 	}
 	v, err := strconv.Atoi(text)
 	if err != nil || v < 1 {
-		r.Fail(key, "%q is neither a number of backend servers from 1 nor a percentage", text)
+		r.Fail(key, "%q is not a floor: must be a number of backend servers of at least 1, or a percentage", text)
 	}
 	return v, 0
 }
--- a/parser/section.go
+++ b/parser/section.go
@@ -65,7 +65,7 @@
 		return fallback
 	}
 	if len(s.section.Key(key).ValueWithShadows()) > 1 {
-		s.Fail(key, "stands twice")
+		s.Fail(key, "is set twice")
 	}
 	return strings.TrimSpace(s.section.Key(key).String())
 }
@@ -99,7 +99,7 @@
 	}
 	d, err := time.ParseDuration(text)
 	if err != nil {
-		s.Fail(key, "%q is no duration such as 200ms", text)
+		s.Fail(key, "%q is not a duration such as 200ms", text)
 	}
 	return d
 }
@@ -108,7 +108,7 @@
 func (s *Section) DurationIn(key string, fallback, minimum, maximum time.Duration) time.Duration {
 	d := s.Duration(key, fallback)
 	if d < minimum || d > maximum {
-		s.Fail(key, "%v is not from %v to %v", d, minimum, maximum)
+		s.Fail(key, "%v is out of range: must be from %v to %v", d, minimum, maximum)
 	}
 	return d
 }
@@ -121,7 +121,7 @@
 	}
 	v, err := strconv.ParseFloat(text, 64)
 	if err != nil || v != v {
-		s.Fail(key, "%q is no number", text)
+		s.Fail(key, "%q is not a number", text)
 	}
 	return v
 }
@@ -130,7 +130,7 @@
 func (s *Section) NumberIn(key string, fallback, minimum, maximum float64) float64 {
 	v := s.Number(key, fallback)
 	if v < minimum || v > maximum {
-		s.Fail(key, "%v is not from %v to %v", v, minimum, maximum)
+		s.Fail(key, "%v is out of range: must be from %v to %v", v, minimum, maximum)
 	}
 	return v
 }
@@ -140,11 +140,11 @@
 	text := s.Text(key, strconv.Itoa(fallback))
 	v, err := strconv.Atoi(text)
 	if err != nil {
-		s.Fail(key, "%q is no whole number", text)
+		s.Fail(key, "%q is not a whole number", text)
 		return fallback
 	}
 	if v < minimum || v > maximum {
-		s.Fail(key, "%d is not from %d to %d", v, minimum, maximum)
+		s.Fail(key, "%d is out of range: must be from %d to %d", v, minimum, maximum)
 	}
 	return v
 }
@@ -167,7 +167,7 @@
 			return v
 		}
 	}
-	s.Fail(key, "%q is none of %s", v, strings.Join(words, ", "))
+	s.Fail(key, "%q is not one of %s", v, strings.Join(words, ", "))
 	return fallback
 }
 
@@ -209,14 +209,14 @@
 func (s *Section) checkAddress(key, v string) {
 	host, port, err := net.SplitHostPort(v)
 	if err != nil {
-		s.Fail(key, "%q: is not of the form IP:PORT", v)
+		s.Fail(key, "%q is not of the form IP:PORT", v)
 		return
 	}
 	if net.ParseIP(host) == nil {
-		s.Fail(key, "%q: has no IP number as host", v)
+		s.Fail(key, "%q: host is not an IP address", v)
 	}
 	if n, err := strconv.Atoi(port); err != nil || n < 0 || n > maxPort {
-		s.Fail(key, "%q: has no port from 0 to %d", v, maxPort)
+		s.Fail(key, "%q: port is not a number from 0 to %d", v, maxPort)
 	}
 }
 
@@ -228,7 +228,7 @@
 	}
 	for _, k := range s.section.Keys() {
 		if !s.isKnown(k.Name()) {
-			s.Fail(k.Name(), "unknown key; known are %s", strings.Join(s.known, ", "))
+			s.Fail(k.Name(), "unknown key; known keys are %s", strings.Join(s.known, ", "))
 		}
 	}
 	return s.err
