--- a/decider/documents.go
+++ b/decider/documents.go
@@ -12,7 +12,7 @@
 
 // learnDocuments handles documents read from the platform's store.
 func (d *Decider[E, D, P, L]) learnDocuments(e descriptor.Learned) {
-	d.relayer.Notice(d.now, e.AsOf)
+	d.relayer.RecordResponse(d.now, e.AsOf)
 	for _, document := range e.Documents {
 		d.applyDocument(document, "")
 	}
@@ -42,7 +42,7 @@
 	if e.AsOf.IsZero() {
 		return
 	}
-	d.relayer.Confirm(e.Kind, e.AsOf)
+	d.relayer.RecordRead(e.Kind, e.AsOf)
 	d.timeDirty = true
 }
 
@@ -128,7 +128,7 @@
 
 func (d *Decider[E, D, P, L]) applyBackends(document descriptor.Document) {
 	d.updateServingCount(document.Name)
-	d.onService(document.Name, func(s *balancer.Balancer[E, D, P, L]) { s.List(d.now, document.Backends, d.relayer.MayReturn()) })
+	d.onService(document.Name, func(s *balancer.Balancer[E, D, P, L]) { s.List(d.now, document.Backends, d.relayer.RestoreDeadline()) })
 }
 
 // updateServingCount sets how many instances serve a service, from the slots of
--- a/decider/receive.go
+++ b/decider/receive.go
@@ -26,13 +26,13 @@
 		for _, document := range m.List {
 			d.applyDocument(document, e.From)
 		}
-		d.relayer.Settle("", d.spreader.Digest().Fold())
+		d.relayer.ApplyAnnouncements("", d.spreader.Digest().Fold())
 		d.timeDirty = true
 	case descriptor.Refresh:
 		for _, part := range d.spreader.Answer(m) {
 			d.send(from, part)
 		}
-	case descriptor.Pulse:
+	case descriptor.Freshness:
 		d.handleFreshness(from, m)
 	case descriptor.Bulletin:
 		d.handleSuspicions(m)
@@ -70,14 +70,14 @@
 
 // handleFreshness handles a freshness announcement: it forwards it, and sends a
 // digest to its sender if the announced documents are not all held.
-func (d *Decider[E, D, P, L]) handleFreshness(from descriptor.Member, m descriptor.Pulse) {
-	next, ok := d.relayer.Hear(d.now, m)
+func (d *Decider[E, D, P, L]) handleFreshness(from descriptor.Member, m descriptor.Freshness) {
+	next, ok := d.relayer.HandleFreshness(d.now, m)
 	if !ok {
 		return
 	}
-	d.relayer.Notice(d.now, d.now.Add(-time.Duration(m.Age)*time.Millisecond))
+	d.relayer.RecordResponse(d.now, d.now.Add(-time.Duration(m.Age)*time.Millisecond))
 	d.forwardFreshness(next)
-	if d.relayer.Settle(m.Origin, d.spreader.Digest().Fold()) {
+	if d.relayer.ApplyAnnouncements(m.Origin, d.spreader.Digest().Fold()) {
 		d.send(from, descriptor.Digest{Members: d.gossiper.Digest(), Documents: d.spreader.Digest(), Urgent: true})
 	}
 	d.timeDirty = true
--- a/decider/tick.go
+++ b/decider/tick.go
@@ -87,7 +87,7 @@
 	chosen := containsMember(d.index.Get(watchRole), d.options.Self.ID)
 	alone := !d.synced && d.now.Sub(d.started) >= d.options.Patience
 	if d.options.Routing && d.synced {
-		alone = d.relayer.Stale(d.now, d.options.kinds())
+		alone = d.relayer.MustQuery(d.now, d.options.kinds())
 	}
 	active := (chosen || alone) && !d.shutdown.started
 	if active == d.watching {
@@ -106,7 +106,7 @@
 	if !d.options.Routing || !d.watching || !d.synced {
 		return
 	}
-	p, ok := d.relayer.Pulse(d.now, d.options.kinds(), d.spreader.Digest().Fold())
+	p, ok := d.relayer.NextFreshness(d.now, d.options.kinds(), d.spreader.Digest().Fold())
 	if ok {
 		d.forwardFreshness(p)
 	}
@@ -114,7 +114,7 @@
 
 // forwardFreshness forwards a freshness announcement to this instance's children
 // in the distribution tree.
-func (d *Decider[E, D, P, L]) forwardFreshness(p descriptor.Pulse) {
+func (d *Decider[E, D, P, L]) forwardFreshness(p descriptor.Freshness) {
 	d.sendToChildren(p.Origin, p)
 }
 
--- a/descriptor/messages.go
+++ b/descriptor/messages.go
@@ -31,7 +31,7 @@
 	TypeLoan
 	TypeDrain
 	TypeInherit
-	TypePulse
+	TypeFreshness
 	TypeOutcomes
 	TypeBulletin
 )
@@ -63,10 +63,10 @@
 	Urgent bool
 }
 
-// Pulse is a freshness announcement: Age milliseconds ago, the platform's store
+// Freshness is a freshness announcement: Age milliseconds ago, the platform's store
 // held nothing newer than the documents with the hash sum Sum. It is forwarded
 // along a tree of all instances.
-type Pulse struct {
+type Freshness struct {
 	// Origin and Incarnation identify the instance that watches the store.
 	Origin      string
 	Incarnation int64
@@ -288,7 +288,7 @@
 func (Inherit) Type() MessageType { return TypeInherit }
 
 // Type implements Message.
-func (Pulse) Type() MessageType { return TypePulse }
+func (Freshness) Type() MessageType { return TypeFreshness }
 
 // Type implements Message.
 func (Outcomes) Type() MessageType { return TypeOutcomes }
@@ -296,7 +296,7 @@
 // Bulletin is a suspicion list: the backend servers of a service that the slot
 // owners suspect to be gray. It is forwarded along a tree of all instances.
 type Bulletin struct {
-	// Origin, Incarnation and Sequence are as in Pulse.
+	// Origin, Incarnation and Sequence are as in Freshness.
 	Origin      string
 	Incarnation int64
 	Sequence    uint64
--- a/messenger/messenger.go
+++ b/messenger/messenger.go
@@ -121,7 +121,7 @@
 	descriptor.TypeLoan:       decode[descriptor.Loan],
 	descriptor.TypeDrain:      decode[descriptor.Drain],
 	descriptor.TypeInherit:    decode[descriptor.Inherit],
-	descriptor.TypePulse:      decode[descriptor.Pulse],
+	descriptor.TypeFreshness:  decode[descriptor.Freshness],
 	descriptor.TypeOutcomes:   decode[descriptor.Outcomes],
 	descriptor.TypeBulletin:   decode[descriptor.Bulletin],
 }
--- a/relayer/relayer.go
+++ b/relayer/relayer.go
@@ -88,18 +88,18 @@
 	}
 }
 
-// Confirm records that this instance read a kind of document from the store and
+// RecordRead records that this instance read a kind of document from the store and
 // has the newest ones as of the given time.
-func (r *Relayer) Confirm(kind descriptor.Kind, asOf time.Time) {
+func (r *Relayer) RecordRead(kind descriptor.Kind, asOf time.Time) {
 	if before, ok := r.own.Get(kind); !ok || asOf.After(before) {
 		r.own.Put(kind, asOf)
 	}
 }
 
-// Notice records that the store responded to some instance at asOf. A gap of
+// RecordResponse records that the store responded to some instance at asOf. A gap of
 // minOutage since the last such time is an outage of the store, or a partition of
 // this instance from all others.
-func (r *Relayer) Notice(now, asOf time.Time) {
+func (r *Relayer) RecordResponse(now, asOf time.Time) {
 	if asOf.IsZero() || !asOf.After(r.respondedAt) {
 		return
 	}
@@ -109,9 +109,9 @@
 	r.respondedAt = asOf
 }
 
-// MayReturn returns the time until which store entries that expired during the last
-// outage may still be registered again, or zero if there was no outage.
-func (r *Relayer) MayReturn() time.Time {
+// RestoreDeadline returns the time until which store entries that expired during
+// the last outage may still be registered again, or zero if there was no outage.
+func (r *Relayer) RestoreDeadline() time.Time {
 	if r.recoveredAt.IsZero() {
 		return r.recoveredAt
 	}
@@ -143,10 +143,10 @@
 	return r.announced
 }
 
-// Stale reports whether an instance that is not selected to watch the store must
+// MustQuery reports whether an instance that is not selected to watch the store must
 // query it. Once it reports true, it does so until announcements have kept
 // arriving for steadyTime.
-func (r *Relayer) Stale(now time.Time, kinds []descriptor.Kind) bool {
+func (r *Relayer) MustQuery(now time.Time, kinds []descriptor.Kind) bool {
 	if now.Sub(r.announced) >= maxConfirmationAge {
 		r.steadySince = time.Time{}
 		r.querying = r.querying || now.Sub(r.Current(kinds)) >= maxConfirmationAge
@@ -159,21 +159,21 @@
 	return r.querying
 }
 
-// Pulse returns the next freshness announcement of an instance that watches the
-// store, and whether one must be sent: every announceInterval, and immediately when
-// the hash sum of the documents changed.
-func (r *Relayer) Pulse(now time.Time, kinds []descriptor.Kind, sum uint64) (descriptor.Pulse, bool) {
+// NextFreshness returns the next freshness announcement of an instance that watches
+// the store, and whether one must be sent: every announceInterval, and immediately
+// when the hash sum of the documents changed.
+func (r *Relayer) NextFreshness(now time.Time, kinds []descriptor.Kind, sum uint64) (descriptor.Freshness, bool) {
 	asOf := r.read(kinds)
 	if asOf.IsZero() || now.Sub(asOf) >= maxConfirmationAge {
-		return descriptor.Pulse{}, false
+		return descriptor.Freshness{}, false
 	}
 	advance := asOf.Sub(r.sentAsOf)
 	if sum == r.sentSum && (advance <= 0 || now.Sub(r.sentAt) < announceInterval) {
-		return descriptor.Pulse{}, false
+		return descriptor.Freshness{}, false
 	}
 	r.sequence++
 	r.sentAt, r.sentSum, r.sentAsOf = now, sum, asOf
-	return descriptor.Pulse{
+	return descriptor.Freshness{
 		Origin:      r.self.ID,
 		Incarnation: r.self.Incarnation,
 		Sequence:    r.sequence,
@@ -182,9 +182,10 @@
 	}, true
 }
 
-// Hear handles a received freshness announcement. It returns the announcement to
-// forward, and false if it is not newer than the last one of its origin.
-func (r *Relayer) Hear(now time.Time, p descriptor.Pulse) (descriptor.Pulse, bool) {
+// HandleFreshness handles a received freshness announcement. It returns the
+// announcement to forward, and false if it is not newer than the last one of its
+// origin.
+func (r *Relayer) HandleFreshness(now time.Time, p descriptor.Freshness) (descriptor.Freshness, bool) {
 	if p.Age < 0 || !r.Newer(p.Origin, p.Incarnation, p.Sequence) {
 		return p, false
 	}
@@ -207,10 +208,10 @@
 	return true
 }
 
-// Settle applies the announcements of all origins to the documents of this
+// ApplyAnnouncements applies the announcements of all origins to the documents of this
 // instance, which have the given hash sum. It reports whether the newest
 // announcement of the origin from is for other documents.
-func (r *Relayer) Settle(from string, sum uint64) bool {
+func (r *Relayer) ApplyAnnouncements(from string, sum uint64) bool {
 	differs := false
 	for id, o := range r.origins.All {
 		if !o.asOf.IsZero() && o.sum == sum && o.asOf.After(r.announced) {
--- a/relayer/relayer_test.go
+++ b/relayer/relayer_test.go
@@ -63,48 +63,48 @@
 func follower(id string, read time.Time) *Relayer {
 	r := New(descriptor.Member{ID: id, Incarnation: 7})
 	for _, k := range kinds {
-		r.Confirm(k, read)
+		r.RecordRead(k, read)
 	}
 	return r
 }
 
-func TestPulse(t *testing.T) {
+func TestFreshness(t *testing.T) {
 	const sum = 42
 	origin := follower("a", at(0))
-	pulse, ok := origin.Pulse(at(100*time.Millisecond), kinds, sum)
+	announcement, ok := origin.NextFreshness(at(100*time.Millisecond), kinds, sum)
 	asserter.True(t, "sent", ok)
-	asserter.Equal(t, "age", pulse.Age, 100)
+	asserter.Equal(t, "age", announcement.Age, 100)
 	t.Run("confirms equal documents as of the time of the read", func(t *testing.T) {
 		r := New(descriptor.Member{ID: "b"})
-		_, ok := r.Hear(at(time.Second), pulse)
+		_, ok := r.HandleFreshness(at(time.Second), announcement)
 		asserter.True(t, "new", ok)
-		asserter.Equal(t, "differs", r.Settle("a", sum), false)
+		asserter.Equal(t, "differs", r.ApplyAnnouncements("a", sum), false)
 		asserter.Equal(t, "current", r.Current(kinds), at(900*time.Millisecond))
 	})
 	t.Run("does not confirm other documents until they are received", func(t *testing.T) {
 		r := New(descriptor.Member{ID: "b"})
-		r.Hear(at(time.Second), pulse)
-		asserter.Equal(t, "differs", r.Settle("a", sum+1), true)
+		r.HandleFreshness(at(time.Second), announcement)
+		asserter.Equal(t, "differs", r.ApplyAnnouncements("a", sum+1), true)
 		asserter.Equal(t, "current", r.Current(kinds), time.Time{})
-		r.Settle("", sum)
+		r.ApplyAnnouncements("", sum)
 		asserter.Equal(t, "current with them", r.Current(kinds), at(900*time.Millisecond))
 	})
 	t.Run("is forwarded once", func(t *testing.T) {
 		r := New(descriptor.Member{ID: "b"})
-		r.Hear(at(time.Second), pulse)
-		_, ok := r.Hear(at(time.Second), pulse)
+		r.HandleFreshness(at(time.Second), announcement)
+		_, ok := r.HandleFreshness(at(time.Second), announcement)
 		asserter.Equal(t, "again", ok, false)
 	})
 	t.Run("is not sent without a new read of the store", func(t *testing.T) {
-		_, ok := origin.Pulse(at(800*time.Millisecond), kinds, sum)
+		_, ok := origin.NextFreshness(at(800*time.Millisecond), kinds, sum)
 		asserter.Equal(t, "sent", ok, false)
 	})
 	t.Run("is sent at once when documents changed", func(t *testing.T) {
-		_, ok := origin.Pulse(at(810*time.Millisecond), kinds, sum+1)
+		_, ok := origin.NextFreshness(at(810*time.Millisecond), kinds, sum+1)
 		asserter.Equal(t, "sent", ok, true)
 	})
 	t.Run("is not sent by an instance that cannot reach the store", func(t *testing.T) {
-		_, ok := origin.Pulse(at(5*time.Second), kinds, sum+2)
+		_, ok := origin.NextFreshness(at(5*time.Second), kinds, sum+2)
 		asserter.Equal(t, "sent", ok, false)
 	})
 }
@@ -112,30 +112,30 @@
 func TestStale(t *testing.T) {
 	t.Run("without messages from peers, queries the store well within two seconds", func(t *testing.T) {
 		r := follower("b", at(0))
-		asserter.Equal(t, "soon", r.Stale(at(time.Second), kinds), false)
-		asserter.Equal(t, "later", r.Stale(at(1300*time.Millisecond), kinds), true)
+		asserter.Equal(t, "soon", r.MustQuery(at(time.Second), kinds), false)
+		asserter.Equal(t, "later", r.MustQuery(at(1300*time.Millisecond), kinds), true)
 	})
 	t.Run("keeps querying until announcements keep arriving", func(t *testing.T) {
 		r := follower("b", at(0))
-		r.Stale(at(1300*time.Millisecond), kinds)
+		r.MustQuery(at(1300*time.Millisecond), kinds)
 		for _, k := range kinds {
-			r.Confirm(k, at(1400*time.Millisecond))
+			r.RecordRead(k, at(1400*time.Millisecond))
 		}
-		asserter.Equal(t, "after an own read", r.Stale(at(1500*time.Millisecond), kinds), true)
+		asserter.Equal(t, "after an own read", r.MustQuery(at(1500*time.Millisecond), kinds), true)
 		for i := range 6 {
 			now := at(2*time.Second + time.Duration(i)*300*time.Millisecond)
-			r.Hear(now, descriptor.Pulse{Origin: "a", Incarnation: 1, Sequence: uint64(i + 1), Sum: 1})
-			r.Settle("a", 1)
-			asserter.Equal(t, fmt.Sprint("announcement ", i), r.Stale(now, kinds), i < 4)
+			r.HandleFreshness(now, descriptor.Freshness{Origin: "a", Incarnation: 1, Sequence: uint64(i + 1), Sum: 1})
+			r.ApplyAnnouncements("a", 1)
+			asserter.Equal(t, fmt.Sprint("announcement ", i), r.MustQuery(now, kinds), i < 4)
 		}
 	})
 }
 
 func TestMayReturn(t *testing.T) {
 	r := New(descriptor.Member{ID: "b"})
-	r.Notice(at(0), at(0))
-	r.Notice(at(time.Second), at(900*time.Millisecond))
-	asserter.Equal(t, "no outage", r.MayReturn(), time.Time{})
-	r.Notice(at(8*time.Second), at(8*time.Second))
-	asserter.Equal(t, "after an outage", r.MayReturn(), at(8*time.Second+restoreTime))
+	r.RecordResponse(at(0), at(0))
+	r.RecordResponse(at(time.Second), at(900*time.Millisecond))
+	asserter.Equal(t, "no outage", r.RestoreDeadline(), time.Time{})
+	r.RecordResponse(at(8*time.Second), at(8*time.Second))
+	asserter.Equal(t, "after an outage", r.RestoreDeadline(), at(8*time.Second+restoreTime))
 }
