--- a/balancer/outcome.go
+++ b/balancer/outcome.go
@@ -112,20 +112,21 @@
 // included in suspicion lists.
 const suspicionThreshold = 0.25
 
-// Doubts returns the suspected backend servers.
-func (b *Balancer[E, D, P, L]) Doubts(now time.Time) []descriptor.Doubt {
-	var list []descriptor.Doubt
+// Suspicions returns the suspected backend servers.
+func (b *Balancer[E, D, P, L]) Suspicions(now time.Time) []descriptor.Suspicion {
+	var list []descriptor.Suspicion
 	for id, s := range b.backends.All {
 		if gray := s.estimate.WithTime(now).Gray; gray >= suspicionThreshold {
-			list = append(list, descriptor.Doubt{Backend: id, Gray: float32(gray)})
+			list = append(list, descriptor.Suspicion{Backend: id, Gray: float32(gray)})
 		}
 	}
 	return list
 }
 
-// HearBulletin applies the suspicion list of the owners. An owner applies only the
-// first one after its start, because its own estimates are more recent afterwards.
-func (b *Balancer[E, D, P, L]) HearBulletin(now time.Time, m descriptor.Bulletin) {
+// HandleSuspicionList applies the suspicion list of the owners. An owner applies only
+// the first one after its start, because its own estimates are more recent
+// afterwards.
+func (b *Balancer[E, D, P, L]) HandleSuspicionList(now time.Time, m descriptor.SuspicionList) {
 	b.advance(now)
 	if b.position >= 0 && b.suspicionsReceived {
 		return
--- a/decider/receive.go
+++ b/decider/receive.go
@@ -34,8 +34,8 @@
 		}
 	case descriptor.Freshness:
 		d.handleFreshness(from, m)
-	case descriptor.Bulletin:
-		d.handleSuspicions(m)
+	case descriptor.SuspicionList:
+		d.handleSuspicionList(m)
 	case descriptor.TallyReport:
 		d.writer.Merge(m.Tally)
 	case descriptor.Receipt:
@@ -83,14 +83,14 @@
 	d.timeDirty = true
 }
 
-// handleSuspicions forwards a suspicion list and gives it to the balancer of its
+// handleSuspicionList forwards a suspicion list and gives it to the balancer of its
 // service.
-func (d *Decider[E, D, P, L]) handleSuspicions(m descriptor.Bulletin) {
+func (d *Decider[E, D, P, L]) handleSuspicionList(m descriptor.SuspicionList) {
 	if !d.relayer.Newer("bulletin/"+m.Service+"/"+m.Origin, m.Incarnation, m.Sequence) {
 		return
 	}
 	d.sendToChildren(m.Origin, m)
-	d.onService(m.Service, func(s *balancer.Balancer[E, D, P, L]) { s.HearBulletin(d.now, m) })
+	d.onService(m.Service, func(s *balancer.Balancer[E, D, P, L]) { s.HandleSuspicionList(d.now, m) })
 }
 
 func (d *Decider[E, D, P, L]) sendDigest(to descriptor.Member) {
--- a/decider/tick.go
+++ b/decider/tick.go
@@ -139,12 +139,12 @@
 	d.lastSuspicionsAt = d.now
 	for service, s := range d.served.All {
 		d.suspicionSequence++
-		m := descriptor.Bulletin{
+		m := descriptor.SuspicionList{
 			Origin:      d.options.Self.ID,
 			Incarnation: d.options.Self.Incarnation,
 			Sequence:    d.suspicionSequence,
 			Service:     service,
-			List:        s.Doubts(d.now),
+			List:        s.Suspicions(d.now),
 		}
 		d.sendToChildren(m.Origin, m)
 	}
--- a/descriptor/messages.go
+++ b/descriptor/messages.go
@@ -33,7 +33,7 @@
 	TypeInherit
 	TypeFreshness
 	TypeOutcomes
-	TypeBulletin
+	TypeSuspicionList
 )
 
 // Hello is the first message on a link in each direction.
@@ -293,25 +293,25 @@
 // Type implements Message.
 func (Outcomes) Type() MessageType { return TypeOutcomes }
 
-// Bulletin is a suspicion list: the backend servers of a service that the slot
-// owners suspect to be gray. It is forwarded along a tree of all instances.
-type Bulletin struct {
+// SuspicionList lists the backend servers of a service that the slot owners suspect
+// to be gray. It is forwarded along a tree of all instances.
+type SuspicionList struct {
 	// Origin, Incarnation and Sequence are as in Freshness.
 	Origin      string
 	Incarnation int64
 	Sequence    uint64
 	Service     string
-	List        []Doubt
+	List        []Suspicion
 }
 
-// Doubt is a suspicion: the estimated probability that a backend server is gray.
-type Doubt struct {
+// Suspicion is the estimated probability that a backend server is gray.
+type Suspicion struct {
 	Backend string
 	Gray    float32
 }
 
 // Type implements Message.
-func (Bulletin) Type() MessageType { return TypeBulletin }
+func (SuspicionList) Type() MessageType { return TypeSuspicionList }
 
 // Type implements Message.
 func (Crash) Type() MessageType { return TypeCrash }
