--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -156,7 +156,7 @@
 	lastEvaluation   time.Time
 	lastEvidence     time.Time
 	lastFullEvidence time.Time
-	lastDemand       time.Time
+	lastSlotDemandAt time.Time
 	actions          []descriptor.Action
 	ended            []Ended
 	candidate        func(int) picker.Candidate
--- a/balancer/share.go
+++ b/balancer/share.go
@@ -13,8 +13,8 @@
 	// fullEvidenceInterval is the time between evidence messages when nothing is
 	// urgent.
 	fullEvidenceInterval = 3 * time.Second
-	// demandInterval is the minimum time between requests for slots.
-	demandInterval = 100 * time.Millisecond
+	// slotDemandInterval is the minimum time between requests for slots.
+	slotDemandInterval = 100 * time.Millisecond
 	// slotLeaseTime is how long a lessee may start work on a leased slot.
 	slotLeaseTime = time.Second
 	// slotLeaseGrace is how much longer the lessor keeps the slot unused.
@@ -79,16 +79,16 @@
 
 // requestSlots asks the other owners for slots while work is queued.
 func (b *Balancer[E, D, P, L]) requestSlots() {
-	if b.queued == 0 || b.now.Sub(b.lastDemand) < demandInterval {
+	if b.queued == 0 || b.now.Sub(b.lastSlotDemandAt) < slotDemandInterval {
 		return
 	}
-	b.lastDemand = b.now
-	b.sendToServing(descriptor.Demand{Service: b.service.Name, Slots: min(b.queued, b.slots+1)})
+	b.lastSlotDemandAt = b.now
+	b.sendToServing(descriptor.SlotDemand{Service: b.service.Name, Slots: min(b.queued, b.slots+1)})
 }
 
-// HearDemand leases out at most half of the free slots to another owner, if no work
-// is queued here.
-func (b *Balancer[E, D, P, L]) HearDemand(now time.Time, from descriptor.Member, m descriptor.Demand) {
+// HandleSlotDemand leases out at most half of the free slots to another owner, if no
+// work is queued here.
+func (b *Balancer[E, D, P, L]) HandleSlotDemand(now time.Time, from descriptor.Member, m descriptor.SlotDemand) {
 	b.advance(now)
 	if b.queued > 0 || b.position < 0 {
 		return
@@ -103,8 +103,8 @@
 		s.leasedOutUntil = b.now.Add(slotLeaseTime + slotLeaseGrace)
 		b.putBackend(i, s)
 		remaining--
-		loan := descriptor.Loan{Service: m.Service, Backend: id, Slots: 1, Millis: slotLeaseTime.Milliseconds()}
-		b.emit(descriptor.Send{To: from, Message: loan})
+		lease := descriptor.SlotLease{Service: m.Service, Backend: id, Slots: 1, Millis: slotLeaseTime.Milliseconds()}
+		b.emit(descriptor.Send{To: from, Message: lease})
 	}
 }
 
@@ -116,8 +116,8 @@
 	return n
 }
 
-// HearLoan makes slots leased from another owner available.
-func (b *Balancer[E, D, P, L]) HearLoan(now time.Time, m descriptor.Loan) {
+// HandleSlotLease makes slots leased from another owner available.
+func (b *Balancer[E, D, P, L]) HandleSlotLease(now time.Time, m descriptor.SlotLease) {
 	b.advance(now)
 	p := b.backends.Position(m.Backend)
 	if p < 0 || m.Slots <= 0 || m.Millis <= 0 || m.Millis > slotLeaseTime.Milliseconds() {
--- a/decider/receive.go
+++ b/decider/receive.go
@@ -137,10 +137,10 @@
 		d.onService(m.Service, func(s *balancer.Balancer[E, D, P, L]) { s.HearCrash(d.now, m) })
 	case descriptor.Drain:
 		d.onService(m.Service, func(s *balancer.Balancer[E, D, P, L]) { s.HearDrain(d.now, m) })
-	case descriptor.Demand:
-		d.onService(m.Service, func(s *balancer.Balancer[E, D, P, L]) { s.HearDemand(d.now, from, m) })
-	case descriptor.Loan:
-		d.onService(m.Service, func(s *balancer.Balancer[E, D, P, L]) { s.HearLoan(d.now, m) })
+	case descriptor.SlotDemand:
+		d.onService(m.Service, func(s *balancer.Balancer[E, D, P, L]) { s.HandleSlotDemand(d.now, from, m) })
+	case descriptor.SlotLease:
+		d.onService(m.Service, func(s *balancer.Balancer[E, D, P, L]) { s.HandleSlotLease(d.now, m) })
 	}
 }
 
--- a/descriptor/messages.go
+++ b/descriptor/messages.go
@@ -27,8 +27,8 @@
 	TypeTally
 	TypeReceipt
 	TypeRefresh
-	TypeDemand
-	TypeLoan
+	TypeSlotDemand
+	TypeSlotLease
 	TypeDrain
 	TypeInherit
 	TypeFreshness
@@ -184,15 +184,14 @@
 	Cleared bool
 }
 
-// Demand reports how many slots beyond its share its sender could use now.
-type Demand struct {
+// SlotDemand reports how many slots beyond its share its sender could use now.
+type SlotDemand struct {
 	Service string
 	Slots   int
 }
 
-// Loan is a slot lease: it leases out slots of one backend server for a bounded
-// time.
-type Loan struct {
+// SlotLease leases out slots of one backend server for a bounded time.
+type SlotLease struct {
 	Service string
 	Backend string
 	Slots   int
@@ -317,10 +316,10 @@
 func (Crash) Type() MessageType { return TypeCrash }
 
 // Type implements Message.
-func (Demand) Type() MessageType { return TypeDemand }
+func (SlotDemand) Type() MessageType { return TypeSlotDemand }
 
 // Type implements Message.
-func (Loan) Type() MessageType { return TypeLoan }
+func (SlotLease) Type() MessageType { return TypeSlotLease }
 
 // Type implements Message.
 func (Drain) Type() MessageType { return TypeDrain }
--- a/experimenter/surroundings.go
+++ b/experimenter/surroundings.go
@@ -18,10 +18,10 @@
 		b.HearCrash(s.now, m)
 	case descriptor.Drain:
 		b.HearDrain(s.now, m)
-	case descriptor.Demand:
-		b.HearDemand(s.now, s.members[from], m)
-	case descriptor.Loan:
-		b.HearLoan(s.now, m)
+	case descriptor.SlotDemand:
+		b.HandleSlotDemand(s.now, s.members[from], m)
+	case descriptor.SlotLease:
+		b.HandleSlotLease(s.now, m)
 	}
 	s.performActions(to)
 }
