--- a/decider/decider.go
+++ b/decider/decider.go
@@ -332,7 +332,7 @@
 	}
 	decision, actions := d.keeper.Begin(e, class.Keyless)
 	d.emitAll(actions)
-	d.resumeRequest(keeper.Settled{Arrived: e, Decision: decision})
+	d.resumeRequest(keeper.Resolved{Arrived: e, Decision: decision})
 }
 
 // refusalReason returns why work for a service that this instance does not serve
@@ -350,7 +350,7 @@
 }
 
 // resumeRequest continues with a request whose idempotency key was decided.
-func (d *Decider[E, D, P, L]) resumeRequest(s keeper.Settled) {
+func (d *Decider[E, D, P, L]) resumeRequest(s keeper.Resolved) {
 	e := s.Arrived
 	switch s.Decision.Verdict {
 	case keeper.Proceed:
@@ -379,7 +379,7 @@
 }
 
 func (d *Decider[E, D, P, L]) callerGone(e descriptor.Gone) {
-	if arrived, ok := d.keeper.Forget(e.Request); ok {
+	if arrived, ok := d.keeper.CancelWait(e.Request); ok {
 		d.refuse(arrived, descriptor.Abandoned, descriptor.NotRun, 0)
 		return
 	}
--- a/decider/documents.go
+++ b/decider/documents.go
@@ -261,7 +261,7 @@
 	actions, changes := d.gossiper.Drain()
 	d.emitAll(actions)
 	if len(changes) > 0 {
-		d.keeper.SetFleet(d.index.Members())
+		d.keeper.SetFleetSize(d.index.Members())
 	}
 	for _, c := range changes {
 		if c.Before.ID == "" {
--- a/decider/leave.go
+++ b/decider/leave.go
@@ -99,7 +99,7 @@
 	}
 	next, ok := d.successor()
 	if ok {
-		d.emitAll(d.keeper.Bequeath(next))
+		d.emitAll(d.keeper.HandOver(next))
 	}
 	d.gossiper.Leave(d.now, next.ID)
 }
--- a/decider/receive.go
+++ b/decider/receive.go
@@ -40,7 +40,7 @@
 		d.writer.Merge(m.Tally)
 	case descriptor.Receipt:
 		d.counter.Confirm(m)
-	case descriptor.Claim, descriptor.Verdict, descriptor.Settle, descriptor.Inherit:
+	case descriptor.Claim, descriptor.Verdict, descriptor.KeySettlement, descriptor.KeyHandover:
 		d.handleKeyMessage(from, m)
 	default:
 		d.handleServiceMessage(from, m)
@@ -111,17 +111,17 @@
 func (d *Decider[E, D, P, L]) handleKeyMessage(from descriptor.Member, message descriptor.Message) {
 	switch m := message.(type) {
 	case descriptor.Claim:
-		d.emitAll(d.keeper.HearClaim(d.now, from, m))
+		d.emitAll(d.keeper.HandleClaim(d.now, from, m))
 	case descriptor.Verdict:
-		settled, ok, actions := d.keeper.HearVerdict(from, m)
+		resolved, ok, actions := d.keeper.HandleVerdict(from, m)
 		d.emitAll(actions)
 		if ok {
-			d.resumeRequest(settled)
+			d.resumeRequest(resolved)
 		}
-	case descriptor.Settle:
-		d.keeper.HearSettle(from.ID, m)
-	case descriptor.Inherit:
-		d.keeper.HearInherit(m)
+	case descriptor.KeySettlement:
+		d.keeper.HandleSettlement(from.ID, m)
+	case descriptor.KeyHandover:
+		d.keeper.HandleKeyHandover(m)
 	}
 }
 
@@ -146,8 +146,8 @@
 
 // handleWritten handles the result of a write to the store.
 func (d *Decider[E, D, P, L]) handleWritten(e descriptor.Written) {
-	if settled, ok := d.keeper.Written(e); ok {
-		d.resumeRequest(settled)
+	if resolved, ok := d.keeper.Written(e); ok {
+		d.resumeRequest(resolved)
 		return
 	}
 	if receipts, ok := d.writer.Written(e); ok {
--- a/decider/tick.go
+++ b/decider/tick.go
@@ -20,8 +20,8 @@
 
 // tick does all work that depends on time alone.
 func (d *Decider[E, D, P, L]) tick() {
-	for _, settled := range d.keeper.Tick(d.now) {
-		d.resumeRequest(settled)
+	for _, resolved := range d.keeper.Tick(d.now) {
+		d.resumeRequest(resolved)
 	}
 	for i := range d.served.Len() {
 		service, s := d.served.At(i)
--- a/descriptor/messages.go
+++ b/descriptor/messages.go
@@ -22,7 +22,7 @@
 	TypeEvidence
 	TypeClaim
 	TypeVerdict
-	TypeSettle
+	TypeKeySettlement
 	TypeCrash
 	TypeTally
 	TypeReceipt
@@ -30,7 +30,7 @@
 	TypeSlotDemand
 	TypeSlotLease
 	TypeDrain
-	TypeInherit
+	TypeKeyHandover
 	TypeFreshness
 	TypeOutcomes
 	TypeSuspicionList
@@ -138,15 +138,15 @@
 // describe the earlier run.
 type Verdict struct {
 	Request RequestID
-	// Key is the claimed key prefixed with its service, as in Settle.
+	// Key is the claimed key prefixed with its service, as in KeySettlement.
 	Key     string
 	Granted bool
 	Reason  Reason
 	Outcome Outcome
 }
 
-// Settle reports to the issuer of a key how a granted run ended.
-type Settle struct {
+// KeySettlement reports to the issuer of a key how a granted run ended.
+type KeySettlement struct {
 	Key     string
 	Outcome Outcome
 }
@@ -160,8 +160,8 @@
 	Holder string
 }
 
-// Inherit hands over the idempotency keys of a leaving instance to its successor.
-type Inherit struct {
+// KeyHandover hands over the idempotency keys of a leaving instance to its successor.
+type KeyHandover struct {
 	Instance    string
 	Incarnation int64
 	// Floor is the newest epoch with keys that may have been dropped.
@@ -281,10 +281,10 @@
 func (Verdict) Type() MessageType { return TypeVerdict }
 
 // Type implements Message.
-func (Settle) Type() MessageType { return TypeSettle }
+func (KeySettlement) Type() MessageType { return TypeKeySettlement }
 
 // Type implements Message.
-func (Inherit) Type() MessageType { return TypeInherit }
+func (KeyHandover) Type() MessageType { return TypeKeyHandover }
 
 // Type implements Message.
 func (Freshness) Type() MessageType { return TypeFreshness }
--- a/descriptor/values.go
+++ b/descriptor/values.go
@@ -66,9 +66,9 @@
 	Accusers []string
 	// Ready reports whether the member serves callers.
 	Ready bool
-	// Heir is the successor: the instance that took over the idempotency keys of
+	// Successor is the ID of the instance that took over the idempotency keys of
 	// a member that left.
-	Heir string
+	Successor string `json:"Heir"`
 }
 
 // MaxAccusers bounds the accusers kept for a member.
@@ -87,9 +87,9 @@
 	return m
 }
 
-// WithHeir returns m with the successor for its idempotency keys set to id.
-func (m Member) WithHeir(id string) Member {
-	m.Heir = id
+// WithSuccessor returns m with the successor for its idempotency keys set to id.
+func (m Member) WithSuccessor(id string) Member {
+	m.Successor = id
 	return m
 }
 
--- a/gossiper/gossiper.go
+++ b/gossiper/gossiper.go
@@ -207,7 +207,7 @@
 
 // Leave publishes that this instance left, and the successor for its keys.
 func (g *Gossiper) Leave(now time.Time, successor string) {
-	g.updateSelf(now, g.self.WithReady(false).WithHeir(successor).WithState(descriptor.Left, nil))
+	g.updateSelf(now, g.self.WithReady(false).WithSuccessor(successor).WithState(descriptor.Left, nil))
 	g.Flush()
 }
 
--- a/keeper/handover.go
+++ b/keeper/handover.go
@@ -5,11 +5,11 @@
 // maxHandoverKeys is the maximum number of keys in one handover message.
 const maxHandoverKeys = 1000
 
-// Bequeath stops granting keys and returns the messages that hand over all keys to
+// HandOver stops granting keys and returns the messages that hand over all keys to
 // successor. No request that holds a key may be open when it is called.
-func (k *Keeper) Bequeath(successor descriptor.Member) []descriptor.Action {
+func (k *Keeper) HandOver(successor descriptor.Member) []descriptor.Action {
 	k.closed = true
-	parts := []descriptor.Inherit{{
+	parts := []descriptor.KeyHandover{{
 		Instance:    k.self.ID,
 		Incarnation: k.self.Incarnation,
 		Floor:       k.floor,
@@ -18,7 +18,7 @@
 		r, _ := k.keys.Get(key)
 		last := &parts[len(parts)-1]
 		if len(last.Keys) == maxHandoverKeys {
-			parts = append(parts, descriptor.Inherit{
+			parts = append(parts, descriptor.KeyHandover{
 				Instance:    k.self.ID,
 				Incarnation: k.self.Incarnation,
 				Floor:       k.floor,
@@ -41,7 +41,7 @@
 func (k *Keeper) handOverIssuers(successor descriptor.Member) []descriptor.Action {
 	var actions []descriptor.Action
 	for _, h := range k.takeovers {
-		actions = append(actions, descriptor.Send{To: successor, Message: descriptor.Inherit{
+		actions = append(actions, descriptor.Send{To: successor, Message: descriptor.KeyHandover{
 			Instance:    h.from.instance,
 			Incarnation: h.from.incarnation,
 			Floor:       h.floor,
@@ -51,10 +51,10 @@
 	return actions
 }
 
-// HearInherit stores the keys of one handover message. After the last message this
-// instance decides about the keys of the issuer that left. If a message was lost it
-// does not, and requests with these keys are refused as unsettled.
-func (k *Keeper) HearInherit(m descriptor.Inherit) {
+// HandleKeyHandover stores the keys of one handover message. After the last message
+// this instance decides about the keys of the issuer that left. If a message was lost
+// it does not, and requests with these keys are refused as unsettled.
+func (k *Keeper) HandleKeyHandover(m descriptor.KeyHandover) {
 	for _, r := range m.Keys {
 		if r.State < int(stateRunning) || r.State > int(stateFree) || len(r.Key) > 2*MaxKey {
 			continue
--- a/keeper/keeper.go
+++ b/keeper/keeper.go
@@ -156,9 +156,9 @@
 	}
 }
 
-// SetFleet sets the number of instances that share the store, which bounds the rate
+// SetFleetSize sets the number of instances that share the store, which bounds the rate
 // of claims of each one.
-func (k *Keeper) SetFleet(n int) { k.rate = min(claimRate, fleetClaims/float64(max(1, n))) }
+func (k *Keeper) SetFleetSize(n int) { k.rate = min(claimRate, fleetClaims/float64(max(1, n))) }
 
 // Waiting returns the number of requests that wait for the answer to a claim.
 func (k *Keeper) Waiting() int { return k.waiting.Len() }
@@ -299,7 +299,7 @@
 	if m.State != descriptor.Left {
 		return m, m.State != descriptor.Dead
 	}
-	successor, ok := k.members.Member(m.Heir)
+	successor, ok := k.members.Member(m.Successor)
 	return successor, ok && successor.State < descriptor.Dead && successor.ID != k.self.ID
 }
 
@@ -312,14 +312,14 @@
 	}
 	k.holds.Delete(id)
 	if h.issuer.ID != "" {
-		settle := descriptor.Settle{Key: h.key, Outcome: outcome}
-		return []descriptor.Action{descriptor.Send{To: h.issuer, Message: settle}}
+		settlement := descriptor.KeySettlement{Key: h.key, Outcome: outcome}
+		return []descriptor.Action{descriptor.Send{To: h.issuer, Message: settlement}}
 	}
-	k.settle(h.key, outcome, h.callerMade)
+	k.settleKey(h.key, outcome, h.callerMade)
 	return nil
 }
 
-func (k *Keeper) settle(key string, outcome descriptor.Outcome, callerMade bool) {
+func (k *Keeper) settleKey(key string, outcome descriptor.Outcome, callerMade bool) {
 	r, ok := k.keys.Get(key)
 	if !ok {
 		r = record{holder: k.self.ID}
@@ -336,8 +336,8 @@
 	}
 }
 
-// HearClaim returns the answer to a claim of another instance.
-func (k *Keeper) HearClaim(now time.Time, from descriptor.Member, m descriptor.Claim) []descriptor.Action {
+// HandleClaim returns the answer to a claim of another instance.
+func (k *Keeper) HandleClaim(now time.Time, from descriptor.Member, m descriptor.Claim) []descriptor.Action {
 	verdict := descriptor.Verdict{Request: m.Request, Key: scopedKey(m.Service, m.Key)}
 	ticket, issued, err := ParseKey(m.Key)
 	d := reject(descriptor.KeyUnsettled, descriptor.MayHaveRun)
@@ -350,38 +350,38 @@
 	return []descriptor.Action{descriptor.Send{To: from, Message: verdict}}
 }
 
-// HearSettle records how a granted run at another instance ended. A message from an
-// instance that does not hold the grant is ignored.
-func (k *Keeper) HearSettle(from string, m descriptor.Settle) {
+// HandleSettlement records how a granted run at another instance ended. A message
+// from an instance that does not hold the grant is ignored.
+func (k *Keeper) HandleSettlement(from string, m descriptor.KeySettlement) {
 	r, ok := k.keys.Get(m.Key)
 	if ok && r.holder == from {
-		k.settle(m.Key, m.Outcome, false)
+		k.settleKey(m.Key, m.Outcome, false)
 	}
 }
 
-// Settled is a request that no longer waits, with the decision about it.
-type Settled struct {
+// Resolved is a request that no longer waits, with the decision about it.
+type Resolved struct {
 	Arrived  descriptor.Arrived
 	Decision Decision
 }
 
-// HearVerdict handles the answer to a claim and returns the request that no longer
+// HandleVerdict handles the answer to a claim and returns the request that no longer
 // waits, if any. A grant for a request that is not waiting is returned to the
 // issuer.
-func (k *Keeper) HearVerdict(from descriptor.Member, m descriptor.Verdict) (Settled, bool, []descriptor.Action) {
+func (k *Keeper) HandleVerdict(from descriptor.Member, m descriptor.Verdict) (Resolved, bool, []descriptor.Action) {
 	p, ok := k.waiting.Get(m.Request)
 	// Request IDs restart with each incarnation, so the key is compared too: a
 	// verdict for a request of an earlier incarnation must not be applied to
 	// this request.
 	if !ok || p.issuer != from.ID || m.Key != scopedKey(p.arrived.Service, p.key) {
-		return Settled{}, false, returnGrant(from, m)
+		return Resolved{}, false, returnGrant(from, m)
 	}
 	k.waiting.Delete(m.Request)
 	if !m.Granted {
-		return Settled{p.arrived, reject(m.Reason, m.Outcome)}, true, nil
+		return Resolved{p.arrived, reject(m.Reason, m.Outcome)}, true, nil
 	}
 	k.holds.Put(m.Request, held{key: m.Key, issuer: from})
-	return Settled{p.arrived, Decision{Verdict: Proceed}}, true, nil
+	return Resolved{p.arrived, Decision{Verdict: Proceed}}, true, nil
 }
 
 // returnGrant returns a grant to its issuer by settling it as not run.
@@ -389,12 +389,12 @@
 	if !m.Granted {
 		return nil
 	}
-	settle := descriptor.Settle{Key: m.Key, Outcome: descriptor.NotRun}
-	return []descriptor.Action{descriptor.Send{To: from, Message: settle}}
+	settlement := descriptor.KeySettlement{Key: m.Key, Outcome: descriptor.NotRun}
+	return []descriptor.Action{descriptor.Send{To: from, Message: settlement}}
 }
 
-// Forget removes a waiting request whose caller disconnected and returns it.
-func (k *Keeper) Forget(id descriptor.RequestID) (descriptor.Arrived, bool) {
+// CancelWait removes a waiting request whose caller disconnected and returns it.
+func (k *Keeper) CancelWait(id descriptor.RequestID) (descriptor.Arrived, bool) {
 	p, ok := k.waiting.Get(id)
 	k.waiting.Delete(id)
 	return p.arrived, ok
--- a/keeper/keeper_test.go
+++ b/keeper/keeper_test.go
@@ -63,11 +63,11 @@
 		if !ok {
 			continue
 		}
-		answers := p.keepers[s.To.ID].HearClaim(p.now, p.members[to], s.Message.(descriptor.Claim))
+		answers := p.keepers[s.To.ID].HandleClaim(p.now, p.members[to], s.Message.(descriptor.Claim))
 		verdict := answers[0].(descriptor.Send).Message.(descriptor.Verdict)
-		settled, ok, _ := p.keepers[to].HearVerdict(p.members[s.To.ID], verdict)
+		resolved, ok, _ := p.keepers[to].HandleVerdict(p.members[s.To.ID], verdict)
 		if ok {
-			return p.next, settled.Decision
+			return p.next, resolved.Decision
 		}
 	}
 	return p.next, d
@@ -77,7 +77,7 @@
 func (p *cluster) end(at string, id descriptor.RequestID, outcome descriptor.Outcome) {
 	for _, a := range p.keepers[at].End(id, outcome) {
 		s := a.(descriptor.Send)
-		p.keepers[s.To.ID].HearSettle(at, s.Message.(descriptor.Settle))
+		p.keepers[s.To.ID].HandleSettlement(at, s.Message.(descriptor.KeySettlement))
 	}
 }
 
@@ -121,7 +121,7 @@
 	t.Run("an instance without the grant can't settle a key", func(t *testing.T) {
 		p := newCluster(t)
 		p.send("b", p.key("a", "1"))
-		p.keepers["a"].HearSettle("c", descriptor.Settle{Key: scopedKey("billing", p.key("a", "1")), Outcome: descriptor.NotRun})
+		p.keepers["a"].HandleSettlement("c", descriptor.KeySettlement{Key: scopedKey("billing", p.key("a", "1")), Outcome: descriptor.NotRun})
 		_, d := p.send("c", p.key("a", "1"))
 		p.want(d, Reject, descriptor.KeyBusy, descriptor.MayHaveRun)
 	})
@@ -158,17 +158,17 @@
 		e := descriptor.Arrived{At: p.now, Request: 5, Service: "billing", Key: p.key("a", "mine")}
 		_, _ = p.keepers["b"].Begin(e, false)
 		verdict := descriptor.Verdict{Request: 5, Key: "billing/" + p.key("a", "other"), Granted: true}
-		_, ok, actions := p.keepers["b"].HearVerdict(p.members["a"], verdict)
+		_, ok, actions := p.keepers["b"].HandleVerdict(p.members["a"], verdict)
 		asserter.Equal(t, "went on", ok, false)
 		asserter.Equal(t, "actions", len(actions), 1)
 	})
 	t.Run("a grant that arrives after the wait is returned to the issuer", func(t *testing.T) {
 		p := newCluster(t)
 		verdict := descriptor.Verdict{Request: 77, Key: "billing/k", Granted: true}
-		_, ok, actions := p.keepers["b"].HearVerdict(p.members["a"], verdict)
+		_, ok, actions := p.keepers["b"].HandleVerdict(p.members["a"], verdict)
 		asserter.Equal(t, "went on", ok, false)
 		asserter.Equal(t, "actions", actions, []descriptor.Action{descriptor.Send{
-			To: p.members["a"], Message: descriptor.Settle{Key: "billing/k", Outcome: descriptor.NotRun},
+			To: p.members["a"], Message: descriptor.KeySettlement{Key: "billing/k", Outcome: descriptor.NotRun},
 		}})
 	})
 }
@@ -193,12 +193,12 @@
 
 func TestKeyHandover(t *testing.T) {
 	handOver := func(p *cluster, lose int) {
-		for i, a := range p.keepers["a"].Bequeath(p.members["c"]) {
+		for i, a := range p.keepers["a"].HandOver(p.members["c"]) {
 			if i != lose {
-				p.keepers["c"].HearInherit(a.(descriptor.Send).Message.(descriptor.Inherit))
+				p.keepers["c"].HandleKeyHandover(a.(descriptor.Send).Message.(descriptor.KeyHandover))
 			}
 		}
-		p.members["a"] = p.members["a"].WithState(descriptor.Left, nil).WithHeir("c")
+		p.members["a"] = p.members["a"].WithState(descriptor.Left, nil).WithSuccessor("c")
 	}
 	t.Run("refuses work that ran and grants work that did not", func(t *testing.T) {
 		p := newCluster(t)
@@ -255,9 +255,9 @@
 			_, d, actions := begin(p, "a")
 			asserter.Equal(t, "verdict", d.Verdict, Wait)
 			write := actions[0].(descriptor.WriteClaim)
-			settled, ok := p.keepers["a"].Written(descriptor.Written{At: p.now, Write: write.Write, Result: c.result})
+			resolved, ok := p.keepers["a"].Written(descriptor.Written{At: p.now, Write: write.Write, Result: c.result})
 			asserter.True(t, "settled", ok)
-			asserter.Equal(t, "decision", settled.Decision, c.want)
+			asserter.Equal(t, "decision", resolved.Decision, c.want)
 		})
 	}
 	t.Run("the rate of claims is bounded", func(t *testing.T) {
--- a/keeper/store.go
+++ b/keeper/store.go
@@ -46,33 +46,33 @@
 
 // Written handles the result of writing a claim to the store and returns the
 // request that no longer waits, if any.
-func (k *Keeper) Written(e descriptor.Written) (Settled, bool) {
+func (k *Keeper) Written(e descriptor.Written) (Resolved, bool) {
 	id, ok := k.writes.Get(e.Write)
 	if !ok {
-		return Settled{}, false
+		return Resolved{}, false
 	}
 	k.writes.Delete(e.Write)
 	p, ok := k.waiting.Get(id)
 	if !ok {
-		return Settled{}, false
+		return Resolved{}, false
 	}
 	k.waiting.Delete(id)
 	switch e.Result {
 	case descriptor.WriteAccepted:
 		k.put(p.key, record{state: stateRunning, holder: k.self.ID})
 		k.holds.Put(id, held{key: p.key, callerMade: true})
-		return Settled{p.arrived, Decision{Verdict: Proceed}}, true
+		return Resolved{p.arrived, Decision{Verdict: Proceed}}, true
 	case descriptor.WriteConflict:
-		return Settled{p.arrived, reject(descriptor.KeyUnsettled, descriptor.MayHaveRun)}, true
+		return Resolved{p.arrived, reject(descriptor.KeyUnsettled, descriptor.MayHaveRun)}, true
 	}
-	return Settled{p.arrived, reject(descriptor.ClaimUnavailable, descriptor.NotRun)}, true
+	return Resolved{p.arrived, reject(descriptor.ClaimUnavailable, descriptor.NotRun)}, true
 }
 
 // Tick returns the requests whose wait timed out. The work of a request that got no
 // answer from the issuer of its key may have run at another instance; the work of
 // one that waited for the store did not run under its claim.
-func (k *Keeper) Tick(now time.Time) []Settled {
-	var expired []Settled
+func (k *Keeper) Tick(now time.Time) []Resolved {
+	var expired []Resolved
 	for _, p := range k.waiting.All {
 		if now.Before(p.until) {
 			continue
@@ -81,7 +81,7 @@
 		if p.issuer == "" {
 			d = reject(descriptor.ClaimUnavailable, descriptor.NotRun)
 		}
-		expired = append(expired, Settled{p.arrived, d})
+		expired = append(expired, Resolved{p.arrived, d})
 	}
 	for _, s := range expired {
 		k.waiting.Delete(s.Arrived.Request)
--- a/messenger/messenger_test.go
+++ b/messenger/messenger_test.go
@@ -13,7 +13,7 @@
 // samples returns one message of each type.
 func samples() []descriptor.Message {
 	at := time.Date(2026, 1, 2, 3, 4, 5, 6, time.UTC)
-	member := descriptor.Member{ID: "a", Incarnation: 3, Version: 4, Public: "p", Inner: "i", Domain: "d", State: descriptor.Suspect, Accusers: []string{"b"}, Ready: true, Heir: "h"}
+	member := descriptor.Member{ID: "a", Incarnation: 3, Version: 4, Public: "p", Inner: "i", Domain: "d", State: descriptor.Suspect, Accusers: []string{"b"}, Ready: true, Successor: "h"}
 	service := &declarer.Service{Name: "s", Floor: 2, Classes: []declarer.Class{{Name: "c", Target: time.Second}}, Routes: []declarer.Route{{Name: "r", Path: "/", Class: "c"}}}
 	reference := descriptor.Reference{Kind: descriptor.KindBackends, Name: "s", Revision: 5}
 	return []descriptor.Message{
@@ -30,7 +30,7 @@
 		descriptor.Evidence{Service: "s", Scores: []descriptor.Score{{Backend: "b", Value: 2.5, Recent: 3}}},
 		descriptor.Claim{Service: "s", Key: "k", Request: 7},
 		descriptor.Verdict{Request: 7, Key: "k", Reason: descriptor.KeyUsed, Outcome: descriptor.Ran},
-		descriptor.Settle{Key: "k", Outcome: descriptor.Ran},
+		descriptor.KeySettlement{Key: "k", Outcome: descriptor.Ran},
 		descriptor.Crash{Service: "s", Fingerprint: 1 << 63, Backend: "b"},
 		descriptor.TallyReport{Tally: descriptor.Tally{Service: "s", Since: at, At: at, Counts: []descriptor.Count{{Class: "c", Requests: 1}}, Latency: []uint64{1, 2}}},
 		descriptor.Receipt{Service: "s", Incarnation: 1, Version: 2},
@@ -41,7 +41,7 @@
 		descriptor.Outcomes{Service: "s", List: []descriptor.BackendOutcomes{{Backend: "b", Before: 2, Bad: 1, After: 1}}},
 		descriptor.SuspicionList{Origin: "a", Incarnation: 1, Sequence: 2, Service: "s", List: []descriptor.Suspicion{{Backend: "b", Gray: 0.5}}},
 		descriptor.Drain{Service: "s", Backend: "b"},
-		descriptor.Inherit{Instance: "a", Incarnation: 1, Keys: []descriptor.KeyRecord{{Key: "k", State: 1, Holder: "b"}}, Last: true, Total: 1},
+		descriptor.KeyHandover{Instance: "a", Incarnation: 1, Keys: []descriptor.KeyRecord{{Key: "k", State: 1, Holder: "b"}}, Last: true, Total: 1},
 	}
 }
 
