--- a/balancer/answer.go
+++ b/balancer/answer.go
@@ -101,7 +101,7 @@
 	}
 	o := detector.Observation{Failed: failed, Tail: b.tail(c, age), Base: b.references[c].FailureRate()}
 	s = s.WithEvidence(b.detector.Observe(s.evidence, o))
-	if b.detector.Score(s.evidence) >= b.detector.Caution()/2 {
+	if b.detector.Score(s.evidence) >= b.detector.AvoidLimit()/2 {
 		return s
 	}
 	if failed {
--- a/balancer/arrive.go
+++ b/balancer/arrive.go
@@ -253,10 +253,10 @@
 	position := set.At(i)
 	_, s := b.backends.At(position)
 	return picker.Candidate{
-		Position: position,
-		InFlight: s.inFlight,
-		Share:    max(1, s.share),
-		Trust:    s.estimate.Trust(b.now),
+		Position:         position,
+		InFlight:         s.inFlight,
+		Share:            max(1, s.share),
+		ServeProbability: s.estimate.ServeProbability(b.now),
 	}
 }
 
--- a/balancer/backend.go
+++ b/balancer/backend.go
@@ -83,7 +83,7 @@
 	overdueScore float64
 	// estimate is the probability that the backend server is gray, from the pooled
 	// outcomes of work.
-	estimate detector.Belief
+	estimate detector.GrayEstimate
 	// failedAt is when this instance last learned of work that failed there, at any
 	// instance.
 	failedAt time.Time
@@ -128,7 +128,7 @@
 const unlimited = 1 << 20
 
 func newBackend[E any](listed descriptor.Backend, now time.Time, started bool) backend[E] {
-	return backend[E]{listed: listed, shedLimit: unlimited, estimate: detector.NewBelief(now, started)}
+	return backend[E]{listed: listed, shedLimit: unlimited, estimate: detector.NewGrayEstimate(now, started)}
 }
 
 // WithOutcome returns b after a request ended there. base is the share of requests
--- a/balancer/eject.go
+++ b/balancer/eject.go
@@ -178,7 +178,7 @@
 		b.backends.SetAt(v.position, s)
 		return
 	}
-	if s.avoided || s.mode != modeReady || v.own < b.detector.Caution() {
+	if s.avoided || s.mode != modeReady || v.own < b.detector.AvoidLimit() {
 		return
 	}
 	if b.now.Sub(s.avoidUntil) > maxAvoidTime {
@@ -211,7 +211,7 @@
 		_, s := b.backends.At(v.position)
 		limit := b.detector.Limit()
 		if s.mode == modeTrial {
-			limit = b.detector.Caution()
+			limit = b.detector.AvoidLimit()
 		}
 		corroborated := v.total >= limit && v.corroboration >= corroborationRatio*limit
 		enoughAlone := v.onlyUser && v.own >= onlyUserLimit(limit, len(b.serving))
--- a/balancer/outcome.go
+++ b/balancer/outcome.go
@@ -140,9 +140,9 @@
 		id, s := b.backends.At(i)
 		gray, ok := suspected[id]
 		if !ok {
-			gray = detector.SoundGray
+			gray = detector.HealthyGray
 		}
-		s.estimate = detector.Belief{Gray: min(1, max(0, gray)), At: now}
+		s.estimate = detector.GrayEstimate{Gray: min(1, max(0, gray)), At: now}
 		b.putBackend(i, s)
 	}
 }
--- a/balancer/spread.go
+++ b/balancer/spread.go
@@ -43,7 +43,7 @@
 // spreadBonusFor returns the addition to the score of s for r because s had no work
 // for a while.
 func (b *Balancer[E, D, P, L]) spreadBonusFor(r request, s backend[E]) float64 {
-	if !b.spreading || b.failedRecently(s) || s.estimate.Trust(b.now) < b.spreadThreshold || b.inUse(s, b.spreadIntervalFor(s)) {
+	if !b.spreading || b.failedRecently(s) || s.estimate.ServeProbability(b.now) < b.spreadThreshold || b.inUse(s, b.spreadIntervalFor(s)) {
 		return 0
 	}
 	if !b.repeatable(r) && b.repeatableShare >= minRepeatableShare && !b.recentOutcomes.failuresElevated() {
--- a/balancer/tick.go
+++ b/balancer/tick.go
@@ -173,7 +173,7 @@
 	if age < b.references[r.class].Quantile(0.5, 0) {
 		return
 	}
-	weight := b.detector.Overdue(b.tail(r.class, age))
+	weight := b.detector.OverdueScore(b.tail(r.class, age))
 	if weight > 0 {
 		s.overdueScore += weight
 		b.backends.SetAt(p, s)
--- a/balancer/trace.go
+++ b/balancer/trace.go
@@ -23,7 +23,7 @@
 		t.Left = r.deadline.Sub(b.now)
 	}
 	if s, ok := b.backends.Get(backend); ok {
-		t.Trust = s.estimate.Trust(b.now)
+		t.Trust = s.estimate.ServeProbability(b.now)
 		t.Load = s.load(b.now)
 	}
 	b.emit(t)
--- a/decider/decider.go
+++ b/decider/decider.go
@@ -135,7 +135,7 @@
 type Standard = Decider[detector.Evidence, detector.Sequential, picker.Sampled, limiter.Adaptive]
 
 // Routed is the decider used under a routing.
-type Routed = Decider[detector.Evidence, detector.Sequential, picker.Trusted, limiter.Bounded]
+type Routed = Decider[detector.Evidence, detector.Sequential, picker.HighestScore, limiter.Bounded]
 
 // RoundRobin is the baseline without ejection.
 type RoundRobin = Decider[detector.Nothing, detector.None, picker.RoundRobin, limiter.Open]
--- a/detector/belief.go
+++ b/detector/estimate.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Parameters of the model behind Belief: backend servers turn gray and recover by
+// Parameters of the model behind GrayEstimate: backend servers turn gray and recover by
 // themselves.
 const (
 	// grayOnsetPerSecond and grayRecoveryPerSecond are the rates, per second, at
@@ -22,16 +22,16 @@
 	healthyFailureShare = 0.01
 	// minStateProbability is the lower bound of the probability of either state.
 	minStateProbability = 1e-3
-	// SoundGray is the probability of being gray that is assumed for a backend
+	// HealthyGray is the probability of being gray that is assumed for a backend
 	// server that no suspicion list names.
-	SoundGray = 0.05
+	HealthyGray = 0.05
 )
 
-// Belief is the estimated probability that a backend server is gray, computed
+// GrayEstimate is the estimated probability that a backend server is gray, computed
 // from the outcomes of its requests and their age. It is meant for requests that
 // may not run twice, on backend servers that fail most requests within a
 // millisecond while they are gray and therefore look idle.
-type Belief struct {
+type GrayEstimate struct {
 	// Gray is the probability as of At, from 0 to 1.
 	Gray float64
 	At   time.Time
@@ -41,45 +41,45 @@
 // observations.
 const stationaryGray = grayOnsetPerSecond / (grayOnsetPerSecond + grayRecoveryPerSecond)
 
-// NewBelief returns the first estimate for a backend server. One that has just
+// NewGrayEstimate returns the first estimate for a backend server. One that has just
 // started is almost never gray; for others the estimate is that without
 // observations.
-func NewBelief(now time.Time, started bool) Belief {
+func NewGrayEstimate(now time.Time, started bool) GrayEstimate {
 	if started {
-		return Belief{Gray: minStateProbability, At: now}
+		return GrayEstimate{Gray: minStateProbability, At: now}
 	}
-	return Belief{Gray: stationaryGray, At: now}
+	return GrayEstimate{Gray: stationaryGray, At: now}
 }
 
-// WithTime returns b as of now. Without observations it approaches
+// WithTime returns e as of now. Without observations it approaches
 // stationaryGray.
-func (b Belief) WithTime(now time.Time) Belief {
-	elapsed := now.Sub(b.At).Seconds()
+func (e GrayEstimate) WithTime(now time.Time) GrayEstimate {
+	elapsed := now.Sub(e.At).Seconds()
 	if elapsed <= 0 {
-		return b
+		return e
 	}
-	b.Gray = stationaryGray + (b.Gray-stationaryGray)*math.Exp(-(grayOnsetPerSecond+grayRecoveryPerSecond)*elapsed)
-	b.At = now
-	return b
+	e.Gray = stationaryGray + (e.Gray-stationaryGray)*math.Exp(-(grayOnsetPerSecond+grayRecoveryPerSecond)*elapsed)
+	e.At = now
+	return e
 }
 
-// WithOutcome returns b updated by a request that ended at now. base is the share
+// WithOutcome returns e updated by a request that ended at now. base is the share
 // of requests that fail at healthy backend servers.
-func (b Belief) WithOutcome(now time.Time, failed bool, base float64) Belief {
-	b = b.WithTime(now)
+func (e GrayEstimate) WithOutcome(now time.Time, failed bool, base float64) GrayEstimate {
+	e = e.WithTime(now)
 	base = min(max(base, healthyFailureShare), grayFailureShare/2)
 	grayLikelihood, healthyLikelihood := 1-grayFailureShare, 1-base
 	if failed {
 		grayLikelihood, healthyLikelihood = grayFailureShare, base
 	}
-	p := b.Gray * grayLikelihood / (b.Gray*grayLikelihood + (1-b.Gray)*healthyLikelihood)
-	b.Gray = min(1-minStateProbability, max(minStateProbability, p))
-	return b
+	p := e.Gray * grayLikelihood / (e.Gray*grayLikelihood + (1-e.Gray)*healthyLikelihood)
+	e.Gray = min(1-minStateProbability, max(minStateProbability, p))
+	return e
 }
 
-// Trust returns the estimated probability that a request sent at now does not
+// ServeProbability returns the estimated probability that a request sent at now does not
 // fail.
-func (b Belief) Trust(now time.Time) float64 {
-	gray := b.WithTime(now).Gray
+func (e GrayEstimate) ServeProbability(now time.Time) float64 {
+	gray := e.WithTime(now).Gray
 	return 1 - gray*grayFailureShare - (1-gray)*healthyFailureShare
 }
--- a/detector/policy.go
+++ b/detector/policy.go
@@ -24,16 +24,16 @@
 	// Score returns the score of e. Larger is worse; 0 is no evidence against the
 	// backend server.
 	Score(e E) float64
-	// Overdue returns what one open request adds to the score if a healthy peer
+	// OverdueScore returns what one open request adds to the score if a healthy peer
 	// takes longer than its age with probability tail.
-	Overdue(tail float64) float64
+	OverdueScore(tail float64) float64
 	// Restart returns the evidence to start with when a backend server that was
 	// avoided or ejected is used again.
 	Restart(e E) E
 	// Limit returns the score from which a backend server is judged gray.
 	Limit() float64
-	// Caution returns the score from which other backend servers are preferred.
-	Caution() float64
+	// AvoidLimit returns the score from which other backend servers are preferred.
+	AvoidLimit() float64
 }
 
 // Parameters of the sequential test. Its hypothesis for a gray backend server is
@@ -97,8 +97,8 @@
 // Score implements Policy.
 func (Sequential) Score(e Evidence) float64 { return max(e.All, e.Failing) }
 
-// Overdue implements Policy.
-func (Sequential) Overdue(tail float64) float64 { return overdueLogRatio(tail) }
+// OverdueScore implements Policy.
+func (Sequential) OverdueScore(tail float64) float64 { return overdueLogRatio(tail) }
 
 func overdueLogRatio(tail float64) float64 {
 	return math.Log(1 - graySlowShare + graySlowShare*math.Pow(tail, grayTailExponent-1))
@@ -112,8 +112,8 @@
 // Limit implements Policy.
 func (Sequential) Limit() float64 { return sequentialLimit }
 
-// Caution implements Policy.
-func (Sequential) Caution() float64 { return sequentialAvoidScore }
+// AvoidLimit implements Policy.
+func (Sequential) AvoidLimit() float64 { return sequentialAvoidScore }
 
 // consecutiveLimit is the number of failures in a row from which a backend server
 // is judged gray.
@@ -134,8 +134,8 @@
 // Score implements Policy.
 func (Consecutive) Score(e int) float64 { return float64(e) }
 
-// Overdue implements Policy.
-func (Consecutive) Overdue(float64) float64 { return 0 }
+// OverdueScore implements Policy.
+func (Consecutive) OverdueScore(float64) float64 { return 0 }
 
 // Restart implements Policy.
 func (Consecutive) Restart(int) int { return 0 }
@@ -143,8 +143,8 @@
 // Limit implements Policy.
 func (Consecutive) Limit() float64 { return consecutiveLimit }
 
-// Caution implements Policy.
-func (Consecutive) Caution() float64 { return consecutiveLimit }
+// AvoidLimit implements Policy.
+func (Consecutive) AvoidLimit() float64 { return consecutiveLimit }
 
 // outlierSampleWeight is the weight of one request in the moving share of
 // Outlier.
@@ -180,8 +180,8 @@
 // Score implements Policy.
 func (Outlier) Score(e Rate) float64 { return e.Bad }
 
-// Overdue implements Policy.
-func (Outlier) Overdue(float64) float64 { return 0 }
+// OverdueScore implements Policy.
+func (Outlier) OverdueScore(float64) float64 { return 0 }
 
 // Restart implements Policy.
 func (Outlier) Restart(Rate) Rate { return Rate{} }
@@ -189,8 +189,8 @@
 // Limit implements Policy.
 func (Outlier) Limit() float64 { return 0.3 }
 
-// Caution implements Policy.
-func (Outlier) Caution() float64 { return 0.2 }
+// AvoidLimit implements Policy.
+func (Outlier) AvoidLimit() float64 { return 0.2 }
 
 // None never judges a backend server gray.
 type None struct{}
@@ -204,8 +204,8 @@
 // Score implements Policy.
 func (None) Score(Nothing) float64 { return 0 }
 
-// Overdue implements Policy.
-func (None) Overdue(float64) float64 { return 0 }
+// OverdueScore implements Policy.
+func (None) OverdueScore(float64) float64 { return 0 }
 
 // Restart implements Policy.
 func (None) Restart(e Nothing) Nothing { return e }
@@ -213,5 +213,5 @@
 // Limit implements Policy.
 func (None) Limit() float64 { return math.Inf(1) }
 
-// Caution implements Policy.
-func (None) Caution() float64 { return math.Inf(1) }
+// AvoidLimit implements Policy.
+func (None) AvoidLimit() float64 { return math.Inf(1) }
--- a/picker/picker.go
+++ b/picker/picker.go
@@ -10,14 +10,14 @@
 	InFlight int
 	// Share is the number of slots that this instance may use; it is positive.
 	Share int
-	// Trust is the estimated probability that the backend server serves the
+	// ServeProbability is the estimated probability that the backend server serves the
 	// request, from 0 to 1.
-	Trust float64
+	ServeProbability float64
 	// Load is the estimated number of open requests of all instances per slot.
 	Load float64
-	// Wait is the expected waiting time at the backend server, as a share of the
+	// WaitShare is the expected waiting time at the backend server, as a share of the
 	// time that the request can wait and still meet its target.
-	Wait float64
+	WaitShare float64
 	// Bonus is added to the score, in units of probability, for properties of the
 	// path to the backend server, such as the same failure domain.
 	Bonus float64
@@ -59,7 +59,7 @@
 	return best
 }
 
-// Weights in the score of Trusted, in units of probability.
+// Weights in the score of HighestScore, in units of probability.
 const (
 	// loadWeight is subtracted for a backend server whose slots are all in use,
 	// because a fully loaded one is slower; for less load it is scaled down.
@@ -69,19 +69,19 @@
 	waitWeight = 0.8
 )
 
-// Trusted takes the candidate with the highest score: the probability of service
+// HighestScore takes the candidate with the highest score: the probability of service
 // plus the bonus, less the weighted load and waiting time. It suits loads where
 // some backend servers fail quickly: those that served requests lately are known
 // to be healthy, while those that look idle and got no requests lately are not.
-type Trusted struct{}
+type HighestScore struct{}
 
 // Pick implements Policy.
-func (Trusted) Pick(n int, at func(int) Candidate, turn uint64, _ Source) int {
+func (HighestScore) Pick(n int, at func(int) Candidate, turn uint64, _ Source) int {
 	best, highest := -1, 0.0
 	for k := range n {
 		i := (int(turn%uint64(n)) + k) % n
 		c := at(i)
-		score := c.Trust + c.Bonus - loadWeight*min(c.Load, 1) - waitWeight*c.Wait
+		score := c.ServeProbability + c.Bonus - loadWeight*min(c.Load, 1) - waitWeight*c.WaitShare
 		if best < 0 || score > highest {
 			best, highest = i, score
 		}
--- a/server/server.go
+++ b/server/server.go
@@ -195,7 +195,7 @@
 		return decider.New[int, detector.Consecutive, picker.LeastLoaded, limiter.Open](o, now)
 	}
 	if s.usesRouting() {
-		return decider.New[detector.Evidence, detector.Sequential, picker.Trusted, limiter.Bounded](o, now)
+		return decider.New[detector.Evidence, detector.Sequential, picker.HighestScore, limiter.Bounded](o, now)
 	}
 	return decider.NewStandard(o, now)
 }
