--- a/balancer/arrive.go
+++ b/balancer/arrive.go
@@ -81,8 +81,8 @@
 	if (b.queued == 0 || b.options.Guests && b.ahead(r.class) == 0) && b.mayStart(r.class) && b.start(r) {
 		return
 	}
-	patience := b.limiter.Patience(b.queueState(r.class))
-	expires := r.arrived.Add(patience)
+	maxWait := b.limiter.MaxWait(b.queueState(r.class))
+	expires := r.arrived.Add(maxWait)
 	if !r.deadline.IsZero() && r.deadline.Before(expires) {
 		expires = r.deadline
 	}
@@ -103,9 +103,9 @@
 }
 
 // queueState describes the queue of a class for the limiter.
-func (b *Balancer[E, D, P, L]) queueState(c int) limiter.Work {
+func (b *Balancer[E, D, P, L]) queueState(c int) limiter.QueueState {
 	declared := b.classes[c].declared
-	return limiter.Work{
+	return limiter.QueueState{
 		Target:  declared.Target,
 		Typical: b.references[c].Quantile(0.5, 0),
 		Oldest:  b.oldest(c),
@@ -154,7 +154,7 @@
 	if !b.classes[c].declared.Long || !b.hasShort() {
 		return true
 	}
-	return b.longInFlight() < b.limiter.LongLimit(b.slots)
+	return b.longInFlight() < b.limiter.MaxLongSlots(b.slots)
 }
 
 func (b *Balancer[E, D, P, L]) hasShort() bool {
@@ -342,8 +342,8 @@
 // startNext starts the next queued request of class c and reports whether one left
 // the queue.
 func (b *Balancer[E, D, P, L]) startNext(c int) bool {
-	newest := b.limiter.Newest(b.queueState(c))
-	id, ok := b.queues[c].Pop(newest)
+	newestFirst := b.limiter.NewestFirst(b.queueState(c))
+	id, ok := b.queues[c].Pop(newestFirst)
 	if !ok {
 		return false
 	}
@@ -358,7 +358,7 @@
 	if b.start(r) {
 		return true
 	}
-	b.queues[c].Return(r.caller, id, newest)
+	b.queues[c].Return(r.caller, id, newestFirst)
 	return false
 }
 
@@ -372,7 +372,7 @@
 			continue
 		}
 		declared := b.classes[c].declared
-		if declared.Long && b.longInFlight() < b.limiter.LongShare(b.slots) {
+		if declared.Long && b.longInFlight() < b.limiter.ReservedLongSlots(b.slots) {
 			return c
 		}
 		slack := declared.Target - b.oldest(c)
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -62,7 +62,7 @@
 	if o.Guests {
 		return retrier.NewEmptyBudget()
 	}
-	return retrier.NewBudget(retrier.Standard())
+	return retrier.NewBudget(retrier.StandardTerms())
 }
 
 // terms returns how the retry budget of one of a number of owners grows. position is
@@ -70,11 +70,11 @@
 func (o Options) terms(instances, position int) retrier.Terms {
 	switch {
 	case !o.Guests:
-		return retrier.Standard()
+		return retrier.StandardTerms()
 	case position < 0:
-		return o.Retries.Guest()
+		return o.Retries.NonOwnerTerms()
 	}
-	return o.Retries.Part(instances)
+	return o.Retries.OwnerTerms(instances)
 }
 
 // Balancer holds the state of one service. Only one goroutine may use it.
--- a/balancer/dump.go
+++ b/balancer/dump.go
@@ -35,7 +35,7 @@
 	class := b.classes[c]
 	limit := b.slots
 	if class.declared.Long && b.hasShort() {
-		limit = b.limiter.LongLimit(b.slots)
+		limit = b.limiter.MaxLongSlots(b.slots)
 	}
 	return descriptor.ClassDump{
 		Name:     class.declared.Name,
--- a/balancer/fail.go
+++ b/balancer/fail.go
@@ -120,7 +120,7 @@
 	if b.start(r) {
 		return
 	}
-	expires := b.now.Add(b.limiter.Patience(b.queueState(r.class)) / 2)
+	expires := b.now.Add(b.limiter.MaxWait(b.queueState(r.class)) / 2)
 	if !r.deadline.IsZero() && r.deadline.Before(expires) {
 		expires = r.deadline
 	}
--- a/limiter/limiter.go
+++ b/limiter/limiter.go
@@ -5,8 +5,8 @@
 
 import "time"
 
-// Work describes the queue of one class of work.
-type Work struct {
+// QueueState describes the queue of one class of work.
+type QueueState struct {
 	// Target is the declared target latency of the class.
 	Target time.Duration
 	// Typical is the median service time; 0 if it is unknown.
@@ -21,17 +21,18 @@
 // Policy decides the order of queued requests, their longest wait and the slots
 // of long requests.
 type Policy interface {
-	// Patience returns how long a request may wait before it is refused.
-	Patience(w Work) time.Duration
-	// Newest reports whether the newest queued request starts first.
-	Newest(w Work) bool
-	// LongLimit returns how many of slots long requests may hold while the
+	// MaxWait returns how long a request may wait before it is refused.
+	MaxWait(q QueueState) time.Duration
+	// NewestFirst reports whether the newest queued request starts first.
+	NewestFirst(q QueueState) bool
+	// MaxLongSlots returns how many of slots long requests may hold while the
 	// service also has short ones.
-	LongLimit(slots int) int
-	// LongShare returns how many of slots long requests get ahead of short ones.
-	LongShare(slots int) int
+	MaxLongSlots(slots int) int
+	// ReservedLongSlots returns how many of slots long requests get ahead of short
+	// ones.
+	ReservedLongSlots(slots int) int
 	// Admits reports whether a new request may join the queue.
-	Admits(w Work) bool
+	Admits(q QueueState) bool
 	// Hedges reports whether overdue requests are also sent to a second backend
 	// server.
 	Hedges() bool
@@ -56,25 +57,27 @@
 // their target.
 type Adaptive struct{}
 
-// Patience implements Policy.
-func (Adaptive) Patience(w Work) time.Duration {
-	minWait := time.Duration(minWaitShare * float64(w.Target))
-	return max(w.Target-w.Typical, minWait)
+// MaxWait implements Policy.
+func (Adaptive) MaxWait(q QueueState) time.Duration {
+	minWait := time.Duration(minWaitShare * float64(q.Target))
+	return max(q.Target-q.Typical, minWait)
 }
 
-// Newest implements Policy.
-func (a Adaptive) Newest(w Work) bool {
-	return float64(w.Oldest) > overloadShare*float64(a.Patience(w))
+// NewestFirst implements Policy.
+func (a Adaptive) NewestFirst(q QueueState) bool {
+	return float64(q.Oldest) > overloadShare*float64(a.MaxWait(q))
 }
 
-// LongLimit implements Policy.
-func (Adaptive) LongLimit(slots int) int { return max(1, int(longMaxShare*float64(slots))) }
+// MaxLongSlots implements Policy.
+func (Adaptive) MaxLongSlots(slots int) int { return max(1, int(longMaxShare*float64(slots))) }
 
-// LongShare implements Policy.
-func (Adaptive) LongShare(slots int) int { return max(1, int(longReservedShare*float64(slots))) }
+// ReservedLongSlots implements Policy.
+func (Adaptive) ReservedLongSlots(slots int) int {
+	return max(1, int(longReservedShare*float64(slots)))
+}
 
 // Admits implements Policy.
-func (Adaptive) Admits(Work) bool { return true }
+func (Adaptive) Admits(QueueState) bool { return true }
 
 // Hedges implements Policy.
 func (Adaptive) Hedges() bool { return true }
@@ -82,8 +85,8 @@
 // Ordered always starts the oldest request first.
 type Ordered struct{ Adaptive }
 
-// Newest implements Policy.
-func (Ordered) Newest(Work) bool { return false }
+// NewestFirst implements Policy.
+func (Ordered) NewestFirst(QueueState) bool { return false }
 
 // Parameters of Bounded.
 const (
@@ -102,36 +105,36 @@
 type Bounded struct{ Adaptive }
 
 // Admits implements Policy.
-func (b Bounded) Admits(w Work) bool {
-	if w.InFlight == 0 || w.Typical <= 0 {
+func (b Bounded) Admits(q QueueState) bool {
+	if q.InFlight == 0 || q.Typical <= 0 {
 		return true
 	}
-	wait := meanToMedian * float64(w.Ahead) * float64(w.Typical) / float64(w.InFlight)
-	return wait <= maxExpectedWaitShare*float64(b.Patience(w))
+	wait := meanToMedian * float64(q.Ahead) * float64(q.Typical) / float64(q.InFlight)
+	return wait <= maxExpectedWaitShare*float64(b.MaxWait(q))
 }
 
-// Newest implements Policy. The queue is short because of Admits, so it keeps the
+// NewestFirst implements Policy. The queue is short because of Admits, so it keeps the
 // order of arrival.
-func (Bounded) Newest(Work) bool { return false }
+func (Bounded) NewestFirst(QueueState) bool { return false }
 
 // Open is the baseline: the oldest request first, no early refusal, no limit on
 // long requests and no hedging.
 type Open struct{}
 
-// Patience implements Policy.
-func (Open) Patience(w Work) time.Duration { return w.Target }
+// MaxWait implements Policy.
+func (Open) MaxWait(q QueueState) time.Duration { return q.Target }
 
-// Newest implements Policy.
-func (Open) Newest(Work) bool { return false }
+// NewestFirst implements Policy.
+func (Open) NewestFirst(QueueState) bool { return false }
 
-// LongLimit implements Policy.
-func (Open) LongLimit(slots int) int { return slots }
+// MaxLongSlots implements Policy.
+func (Open) MaxLongSlots(slots int) int { return slots }
 
-// LongShare implements Policy.
-func (Open) LongShare(int) int { return 0 }
+// ReservedLongSlots implements Policy.
+func (Open) ReservedLongSlots(int) int { return 0 }
 
 // Admits implements Policy.
-func (Open) Admits(Work) bool { return true }
+func (Open) Admits(QueueState) bool { return true }
 
 // Hedges implements Policy.
 func (Open) Hedges() bool { return false }
--- a/retrier/budget.go
+++ b/retrier/budget.go
@@ -48,13 +48,13 @@
 // the bounds, because an instance that knows only a few may not know all.
 const minAssumedInstances = 4
 
-// Standard returns the terms of an instance where no bounds for the whole fleet
+// StandardTerms returns the terms of an instance where no bounds for the whole fleet
 // are set.
-func Standard() Terms { return Terms{PerRequest: retriesPerSuccess, Limit: maxSavedRetries} }
+func StandardTerms() Terms { return Terms{PerRequest: retriesPerSuccess, Limit: maxSavedRetries} }
 
-// Part returns the terms of one slot owner, where the given number of instances
+// OwnerTerms returns the terms of one slot owner, where the given number of instances
 // share b.
-func (b Bounds) Part(instances int) Terms {
+func (b Bounds) OwnerTerms(instances int) Terms {
 	n := float64(max(minAssumedInstances, instances))
 	return Terms{
 		PerRequest: b.Ratio * usedRatioShare,
@@ -63,8 +63,8 @@
 	}
 }
 
-// Guest returns the terms of a non-owner, which has no part of Extra.
-func (b Bounds) Guest() Terms { return Terms{PerRequest: b.Ratio * usedRatioShare, Limit: 1} }
+// NonOwnerTerms returns the terms of a non-owner, which has no share of Extra.
+func (b Bounds) NonOwnerTerms() Terms { return Terms{PerRequest: b.Ratio * usedRatioShare, Limit: 1} }
 
 // Budget is the number of retries that may be sent now.
 type Budget struct {
--- a/retrier/budget_test.go
+++ b/retrier/budget_test.go
@@ -31,7 +31,7 @@
 
 // simulate returns the numbers of requests and retries in each second.
 func simulate(bounds Bounds, instances int, load func(int) int) (requests, retries []int) {
-	terms := bounds.Part(instances)
+	terms := bounds.OwnerTerms(instances)
 	budgets := make([]Budget, instances)
 	now := time.Date(2026, 3, 1, 0, 0, 0, 0, time.UTC)
 	for second := range 90 {
