--- a/balancer/answer.go
+++ b/balancer/answer.go
@@ -53,7 +53,7 @@
 	r = b.cancelOthers(r, e.Attempt)
 	b.requests.Put(r.id, r)
 	if e.Status < http.StatusInternalServerError {
-		if !b.options.Guests {
+		if !b.options.PooledOutcomes {
 			b.budget = b.budget.WithRequest(b.terms)
 		}
 		b.clearCrash(r.fingerprint)
@@ -84,7 +84,7 @@
 // observe returns s with an ended attempt as evidence. Successful answers of a
 // backend server that started recently are not used.
 func (b *Balancer[E, D, P, L]) observe(s backend[E], c int, a attempt, failed bool) backend[E] {
-	if b.options.Guests {
+	if b.options.PooledOutcomes {
 		s = s.WithOutcome(b.now, failed, 0)
 		b.recentOutcomes = b.recentOutcomes.WithOutcome(b.now, failed)
 		b.queueOutcome(a.backend, failed)
@@ -139,7 +139,7 @@
 func (b *Balancer[E, D, P, L]) markDraining(s backend[E]) backend[E] {
 	if s.mode != modeLeaving {
 		b.note(descriptor.NoteDrain, s.listed.ID, "announced in an answer")
-		b.sendToServing(descriptor.Drain{Service: b.service.Name, Backend: s.listed.ID})
+		b.sendToOwners(descriptor.Drain{Service: b.service.Name, Backend: s.listed.ID})
 	}
 	return s.WithDrain(b.now)
 }
--- a/balancer/arrive.go
+++ b/balancer/arrive.go
@@ -35,10 +35,10 @@
 		b.ended = append(b.ended, Ended{Request: r.id, Class: e.Class, Reason: descriptor.UnknownRoute})
 		return
 	}
-	if b.options.Guests {
+	if b.options.PooledOutcomes {
 		b.budget = b.budget.WithTime(e.At, b.terms).WithRequest(b.terms)
 	}
-	if reason, retry := b.Barrier(e); reason != descriptor.Served {
+	if reason, retry := b.CheckAdmission(e); reason != descriptor.Served {
 		b.refuse(r, reason, descriptor.NotRun, retry)
 		return
 	}
@@ -54,15 +54,15 @@
 	return -1
 }
 
-// Barrier returns why a request cannot be admitted and when to send it again, or
+// CheckAdmission returns why a request cannot be admitted and when to send it again, or
 // Served if it can.
-func (b *Balancer[E, D, P, L]) Barrier(e descriptor.Arrived) (descriptor.Reason, time.Duration) {
+func (b *Balancer[E, D, P, L]) CheckAdmission(e descriptor.Arrived) (descriptor.Reason, time.Duration) {
 	switch {
 	case b.service.State == declarer.Closing:
 		return descriptor.ServiceClosing, 0
 	case b.service.State == declarer.Closed:
 		return descriptor.ServiceClosed, 0
-	case b.position < 0 && !b.options.Guests:
+	case b.position < 0 && !b.options.PooledOutcomes:
 		return descriptor.Misdirected, 0
 	case b.poisoned(e.Fingerprint):
 		return descriptor.Poisoned, 0
@@ -78,7 +78,7 @@
 func (b *Balancer[E, D, P, L]) admit(r request) {
 	b.trace(r, descriptor.NoteAdmitted, 0, "", "", 0)
 	b.updateRepeatableShare(r)
-	if (b.queued == 0 || b.options.Guests && b.ahead(r.class) == 0) && b.mayStart(r.class) && b.start(r) {
+	if (b.queued == 0 || b.options.PooledOutcomes && b.ahead(r.class) == 0) && b.mayStart(r.class) && b.start(r) {
 		return
 	}
 	maxWait := b.limiter.MaxWait(b.queueState(r.class))
@@ -204,7 +204,7 @@
 
 // pick returns the position of a backend server for r, or -1.
 func (b *Balancer[E, D, P, L]) pick(r request) int {
-	if b.options.Guests {
+	if b.options.PooledOutcomes {
 		return b.pickPooled(r)
 	}
 	if p := b.pickFrom(&b.preferred, r); p >= 0 {
@@ -278,7 +278,7 @@
 
 // limit returns how many attempts may be in flight at a backend server.
 func (b *Balancer[E, D, P, L]) limit(s backend[E]) int {
-	if b.options.Guests {
+	if b.options.PooledOutcomes {
 		return s.pooledLimit(b.now)
 	}
 	return s.limit(b.now)
@@ -287,7 +287,7 @@
 // startQueued starts queued requests while there are free slots.
 func (b *Balancer[E, D, P, L]) startQueued() {
 	b.startRetries()
-	if b.options.Guests {
+	if b.options.PooledOutcomes {
 		b.startQueuedPooled()
 		return
 	}
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -48,18 +48,18 @@
 	Seed uint64
 	// NextWrite returns an unused write ID.
 	NextWrite func() descriptor.WriteID
-	// Guests is set when non-owners, instances without a share of the slots, also
-	// send work of the service. Outcomes of work are then pooled over all instances
-	// and decide the placement.
-	Guests bool
-	// Retries bounds the retries of all instances together. It applies if Guests is
-	// set.
+	// PooledOutcomes is set when non-owners, instances without a share of the slots,
+	// also send work of the service. Outcomes of work are then pooled over all
+	// instances and decide the placement.
+	PooledOutcomes bool
+	// Retries bounds the retries of all instances together. It applies if
+	// PooledOutcomes is set.
 	Retries retrier.Bounds
 }
 
 // budget returns the retry budget of an instance that has just started.
 func (o Options) budget() retrier.Budget {
-	if o.Guests {
+	if o.PooledOutcomes {
 		return retrier.NewEmptyBudget()
 	}
 	return retrier.NewBudget(retrier.StandardTerms())
@@ -69,7 +69,7 @@
 // its index among them, or -1 for a non-owner.
 func (o Options) terms(instances, position int) retrier.Terms {
 	switch {
-	case !o.Guests:
+	case !o.PooledOutcomes:
 		return retrier.StandardTerms()
 	case position < 0:
 		return o.Retries.NonOwnerTerms()
@@ -115,9 +115,9 @@
 	terms              retrier.Terms
 	listed             bool
 
-	// serving lists the owners of the service's slots. position is the index of this
+	// owners lists the owners of the service's slots. position is the index of this
 	// instance in it, or -1 for a non-owner.
-	serving  []descriptor.Member
+	owners   []descriptor.Member
 	position int
 	// shareRetainedUntil is until when an instance that is no longer an owner keeps
 	// its share. Zero means that it is an owner or has given up its share.
@@ -280,7 +280,7 @@
 	if r.queued {
 		b.queued--
 	}
-	if b.options.Guests && countsAsUnserved(reason) {
+	if b.options.PooledOutcomes && countsAsUnserved(reason) {
 		b.recordUnserved()
 	}
 	b.ended = append(b.ended, Ended{
--- a/balancer/dump.go
+++ b/balancer/dump.go
@@ -19,7 +19,7 @@
 		Budget:    b.budget.Left,
 		Suspect:   b.crashes.Len(),
 	}
-	for _, m := range b.serving {
+	for _, m := range b.owners {
 		d.Serving = append(d.Serving, m.ID)
 	}
 	for c := range b.classes {
--- a/balancer/eject.go
+++ b/balancer/eject.go
@@ -50,8 +50,8 @@
 	scores *container.Table[string, descriptor.Score]
 }
 
-// HearEvidence stores the evidence reported by another owner.
-func (b *Balancer[E, D, P, L]) HearEvidence(now time.Time, from string, m descriptor.Evidence) {
+// HandleEvidence stores the evidence reported by another owner.
+func (b *Balancer[E, D, P, L]) HandleEvidence(now time.Time, from string, m descriptor.Evidence) {
 	b.advance(now)
 	table := container.NewTable[string, descriptor.Score]()
 	for _, s := range m.Scores {
@@ -68,8 +68,8 @@
 }
 
 func (b *Balancer[E, D, P, L]) forgetPeers() {
-	keep := make(map[string]bool, len(b.serving))
-	for _, m := range b.serving {
+	keep := make(map[string]bool, len(b.owners))
+	for _, m := range b.owners {
 		keep[m.ID] = true
 	}
 	for id := range b.peers {
@@ -133,7 +133,7 @@
 	v := assessment{position: i, own: b.detector.Score(s.evidence) + s.overdueScore, onlyUser: true}
 	v.total = v.own
 	strongest := v.own
-	for _, m := range b.serving {
+	for _, m := range b.owners {
 		if m.ID == b.options.Self {
 			continue
 		}
@@ -163,7 +163,7 @@
 // updateAvoidance avoids a backend server once the evidence of this instance
 // suffices. It tries the backend server again after a wait that doubles each time.
 func (b *Balancer[E, D, P, L]) updateAvoidance(v assessment) {
-	if b.options.Guests {
+	if b.options.PooledOutcomes {
 		// Pooled outcomes decide the placement instead.
 		return
 	}
@@ -214,7 +214,7 @@
 			limit = b.detector.AvoidLimit()
 		}
 		corroborated := v.total >= limit && v.corroboration >= corroborationRatio*limit
-		enoughAlone := v.onlyUser && v.own >= onlyUserLimit(limit, len(b.serving))
+		enoughAlone := v.onlyUser && v.own >= onlyUserLimit(limit, len(b.owners))
 		if s.healthy() && (corroborated || enoughAlone) {
 			result = append(result, v)
 		}
@@ -364,9 +364,9 @@
 	return descriptor.Document{}, false
 }
 
-// Eject applies a set of ejections unless a newer one is in force. It reports whether
-// the set was new.
-func (b *Balancer[E, D, P, L]) Eject(now time.Time, d descriptor.Document) bool {
+// SetEjections applies a set of ejections unless a newer one is in force. It reports
+// whether the set was new.
+func (b *Balancer[E, D, P, L]) SetEjections(now time.Time, d descriptor.Document) bool {
 	b.advance(now)
 	if d.Revision <= b.ejections.Revision {
 		return false
--- a/balancer/fail.go
+++ b/balancer/fail.go
@@ -159,7 +159,7 @@
 // own report is a failure; otherwise the backend server is full.
 func (b *Balancer[E, D, P, L]) shed(s backend[E], e descriptor.Failed) backend[E] {
 	s = s.WithLoad(e.Load, e.At)
-	if b.options.Guests && !reportsFull(e.Load) {
+	if b.options.PooledOutcomes && !reportsFull(e.Load) {
 		b.queueOutcome(s.listed.ID, true)
 		return s.WithOutcome(b.now, true, shedFailureBase)
 	}
--- a/balancer/list.go
+++ b/balancer/list.go
@@ -8,10 +8,10 @@
 	"monsoonswitch/descriptor"
 )
 
-// List applies a list of backend servers. Those no longer listed finish their work.
-// Until mayReturn they count as listed, because entries that expired during an outage
-// of the store take a while to be renewed.
-func (b *Balancer[E, D, P, L]) List(now time.Time, list []descriptor.Backend, mayReturn time.Time) {
+// SetBackends applies a list of backend servers. Those no longer listed finish their
+// work. Until restoreDeadline they count as listed, because entries that expired
+// during an outage of the store take a while to be renewed.
+func (b *Balancer[E, D, P, L]) SetBackends(now time.Time, list []descriptor.Backend, restoreDeadline time.Time) {
 	b.advance(now)
 	present := make(map[string]bool, len(list))
 	for _, listed := range list {
@@ -21,7 +21,7 @@
 	b.listed = true
 	for _, id := range b.backendIDs() {
 		if !present[id] {
-			b.handleMissing(id, mayReturn)
+			b.handleMissing(id, restoreDeadline)
 		}
 	}
 	b.refresh()
@@ -58,7 +58,7 @@
 // listed so. A delayed entry may not show it, but an incarnation that leaves never
 // returns.
 func (b *Balancer[E, D, P, L]) withKnownLeaving(listed descriptor.Backend) descriptor.Backend {
-	if !b.options.Guests {
+	if !b.options.PooledOutcomes {
 		return listed
 	}
 	if listed.Leaving {
@@ -70,13 +70,13 @@
 }
 
 // handleMissing handles a backend server that is no longer listed.
-func (b *Balancer[E, D, P, L]) handleMissing(id string, mayReturn time.Time) {
+func (b *Balancer[E, D, P, L]) handleMissing(id string, restoreDeadline time.Time) {
 	s, _ := b.backends.Get(id)
-	if s.listed.Leaving || !b.now.Before(mayReturn) {
+	if s.listed.Leaving || !b.now.Before(restoreDeadline) {
 		b.delist(id)
 		return
 	}
-	s.mayReturnUntil = mayReturn
+	s.mayReturnUntil = restoreDeadline
 	b.backends.Put(id, s)
 }
 
@@ -121,26 +121,26 @@
 const nonOwnerShare = 1
 
 func (b *Balancer[E, D, P, L]) shareOf(listed descriptor.Backend) int {
-	if b.options.Guests && b.position < 0 {
+	if b.options.PooledOutcomes && b.position < 0 {
 		return nonOwnerShare
 	}
-	return allocator.Share(listed.Slots, len(b.serving), b.position, listed.ID)
+	return allocator.Share(listed.Slots, len(b.owners), b.position, listed.ID)
 }
 
-// Serve sets the owners of the service's slots.
-func (b *Balancer[E, D, P, L]) Serve(now time.Time, serving []descriptor.Member) {
+// SetOwners sets the owners of the service's slots.
+func (b *Balancer[E, D, P, L]) SetOwners(now time.Time, owners []descriptor.Member) {
 	b.advance(now)
-	position := positionOf(serving, b.options.Self)
-	if position < 0 && b.position >= 0 && !b.options.Guests {
+	position := positionOf(owners, b.options.Self)
+	if position < 0 && b.position >= 0 && !b.options.PooledOutcomes {
 		if b.shareRetainedUntil.IsZero() {
 			b.shareRetainedUntil = now.Add(shareRetention)
 		}
 		return
 	}
 	b.shareRetainedUntil = time.Time{}
-	b.serving = serving
+	b.owners = owners
 	b.position = position
-	b.terms = b.options.terms(len(serving), position)
+	b.terms = b.options.terms(len(owners), position)
 	b.recomputeShares()
 	b.startQueued()
 }
@@ -149,8 +149,8 @@
 // need that long to learn of the change.
 const shareRetention = 2 * time.Second
 
-func positionOf(serving []descriptor.Member, id string) int {
-	for i, m := range serving {
+func positionOf(owners []descriptor.Member, id string) int {
+	for i, m := range owners {
 		if m.ID == id {
 			return i
 		}
@@ -180,11 +180,11 @@
 	b.refresh()
 }
 
-// Serves reports whether this instance is an owner.
-func (b *Balancer[E, D, P, L]) Serves() bool { return b.position >= 0 }
+// OwnsSlots reports whether this instance is an owner.
+func (b *Balancer[E, D, P, L]) OwnsSlots() bool { return b.position >= 0 }
 
-// Serving returns the owners of the service's slots.
-func (b *Balancer[E, D, P, L]) Serving() []descriptor.Member { return b.serving }
+// Owners returns the owners of the service's slots.
+func (b *Balancer[E, D, P, L]) Owners() []descriptor.Member { return b.owners }
 
 // refuseQueued refuses all queued requests, because other instances serve them now.
 func (b *Balancer[E, D, P, L]) refuseQueued() {
@@ -220,17 +220,17 @@
 	}
 }
 
-// sendToServing sends a message to the other owners.
-func (b *Balancer[E, D, P, L]) sendToServing(m descriptor.Message) {
-	for _, p := range b.serving {
+// sendToOwners sends a message to the other owners.
+func (b *Balancer[E, D, P, L]) sendToOwners(m descriptor.Message) {
+	for _, p := range b.owners {
 		if p.ID != b.options.Self {
 			b.emit(descriptor.Send{To: p, Message: m})
 		}
 	}
 }
 
-// HearDrain handles a drain that was announced to another owner.
-func (b *Balancer[E, D, P, L]) HearDrain(now time.Time, m descriptor.Drain) {
+// HandleDrain handles a drain that was announced to another owner.
+func (b *Balancer[E, D, P, L]) HandleDrain(now time.Time, m descriptor.Drain) {
 	b.advance(now)
 	p := b.backends.Position(m.Backend)
 	if p < 0 {
--- a/balancer/outcome.go
+++ b/balancer/outcome.go
@@ -86,10 +86,10 @@
 	m := descriptor.Outcomes{Service: b.service.Name, List: list, Unserved: b.unsentUnserved}
 	b.unsentUnserved = 0
 	if b.position >= 0 {
-		b.sendToServing(m)
+		b.sendToOwners(m)
 		return
 	}
-	if len(b.serving) > 0 {
+	if len(b.owners) > 0 {
 		m.Relay = true
 		b.emit(descriptor.Send{To: b.relayInstance(), Message: m})
 	}
@@ -98,14 +98,14 @@
 // relayInstance returns the owner to which a non-owner sends its outcomes. It stays
 // the same while the owners do, so that a non-owner needs only one link.
 func (b *Balancer[E, D, P, L]) relayInstance() descriptor.Member {
-	n := len(b.serving)
+	n := len(b.owners)
 	first := int(allocator.Weight(b.service.Name, b.options.Self) % uint64(n))
 	for k := range n {
-		if m := b.serving[(first+k)%n]; m.Domain == b.options.Domain {
+		if m := b.owners[(first+k)%n]; m.Domain == b.options.Domain {
 			return m
 		}
 	}
-	return b.serving[first]
+	return b.owners[first]
 }
 
 // suspicionThreshold is the probability of being gray from which a backend server is
@@ -173,7 +173,7 @@
 // updateOtherWork computes the mean number of requests that other instances have at a
 // backend server in use. It stands in for backend servers without a recent report.
 func (b *Balancer[E, D, P, L]) updateOtherWork() {
-	if !b.options.Guests {
+	if !b.options.PooledOutcomes {
 		return
 	}
 	sum, n := 0.0, 0
@@ -201,8 +201,8 @@
 // would hardly change the estimate.
 const maxOutcomes = 8
 
-// HearOutcomes applies outcomes reported by another instance.
-func (b *Balancer[E, D, P, L]) HearOutcomes(now time.Time, m descriptor.Outcomes) {
+// HandleOutcomes applies outcomes reported by another instance.
+func (b *Balancer[E, D, P, L]) HandleOutcomes(now time.Time, m descriptor.Outcomes) {
 	b.advance(now)
 	for range min(m.Unserved, maxOutcomes) {
 		b.recentOutcomes = b.recentOutcomes.WithOutcome(now, true)
--- a/balancer/share.go
+++ b/balancer/share.go
@@ -26,11 +26,11 @@
 // publish sends the other owners the outcomes, evidence and slot requests of this
 // instance.
 func (b *Balancer[E, D, P, L]) publish() {
-	if b.options.Guests {
+	if b.options.PooledOutcomes {
 		b.publishOutcomes()
 		return
 	}
-	if b.position < 0 || len(b.serving) < 2 {
+	if b.position < 0 || len(b.owners) < 2 {
 		return
 	}
 	b.publishEvidence()
@@ -51,7 +51,7 @@
 		b.lastFullEvidence = b.now
 		b.startObservationWindow()
 	}
-	b.sendToServing(descriptor.Evidence{Service: b.service.Name, Scores: scores})
+	b.sendToOwners(descriptor.Evidence{Service: b.service.Name, Scores: scores})
 }
 
 // startObservationWindow starts a new window of recent observations.
@@ -83,7 +83,7 @@
 		return
 	}
 	b.lastSlotDemandAt = b.now
-	b.sendToServing(descriptor.SlotDemand{Service: b.service.Name, Slots: min(b.queued, b.slots+1)})
+	b.sendToOwners(descriptor.SlotDemand{Service: b.service.Name, Slots: min(b.queued, b.slots+1)})
 }
 
 // HandleSlotDemand leases out at most half of the free slots to another owner, if no
--- a/balancer/spread.go
+++ b/balancer/spread.go
@@ -66,7 +66,7 @@
 // spreadIntervalFor returns the time without work after which s is overdue for a
 // request of this instance.
 func (b *Balancer[E, D, P, L]) spreadIntervalFor(s backend[E]) time.Duration {
-	if allocator.Share(1, len(b.serving), b.position, s.listed.ID) == 0 {
+	if allocator.Share(1, len(b.owners), b.position, s.listed.ID) == 0 {
 		return spreadInterval
 	}
 	interval := ownerIntervalRatio * float64(spreadInterval)
@@ -88,7 +88,7 @@
 func (b *Balancer[E, D, P, L]) updateSpreading() {
 	b.recentOutcomes = b.recentOutcomes.WithTime(b.now)
 	b.spreading = false
-	if !b.options.Guests || b.position < 0 {
+	if !b.options.PooledOutcomes || b.position < 0 {
 		return
 	}
 	high := b.recentOutcomes.failuresHigh()
--- a/balancer/tick.go
+++ b/balancer/tick.go
@@ -114,7 +114,7 @@
 		_, r := b.requests.At(i)
 		for k := range r.count {
 			b.addOverdueScore(r, r.attempts[k])
-			if b.options.Guests && b.isLate(r, r.attempts[k]) {
+			if b.options.PooledOutcomes && b.isLate(r, r.attempts[k]) {
 				r = r.WithLate(k)
 				b.requests.SetAt(i, r)
 				b.recordLateAttempt(r.attempts[k].backend)
@@ -267,7 +267,7 @@
 	if declared.Timeout > 0 && b.now.Sub(r.arrived) > declared.Timeout+timeoutSlack {
 		return true
 	}
-	if b.options.Guests && !r.deadline.IsZero() && b.now.Sub(r.deadline) > timeoutSlack {
+	if b.options.PooledOutcomes && !r.deadline.IsZero() && b.now.Sub(r.deadline) > timeoutSlack {
 		// The backend server knows the deadline and has ended the work too.
 		return true
 	}
--- a/balancer/trace.go
+++ b/balancer/trace.go
@@ -5,7 +5,7 @@
 // trace emits a trace entry for a decision about a request, if outcomes are pooled. a
 // is 0 for decisions that concern no attempt.
 func (b *Balancer[E, D, P, L]) trace(r request, number int, a descriptor.AttemptID, backend, cause string, status int) {
-	if !b.options.Guests {
+	if !b.options.PooledOutcomes {
 		return
 	}
 	t := descriptor.Trace{
--- a/decider/decider.go
+++ b/decider/decider.go
@@ -44,9 +44,9 @@
 	Self descriptor.Member
 	// Seed seeds the random choices, which makes them repeatable.
 	Seed uint64
-	// Patience is how long an instance that starts waits for the configuration
+	// PeerWait is how long an instance that starts waits for the configuration
 	// from other instances before it reads the platform's store itself.
-	Patience time.Duration
+	PeerWait time.Duration
 	// Routing reports whether one routing declares all services. Every instance
 	// then serves all of them, and nothing about them is written to the store.
 	Routing bool
@@ -326,7 +326,7 @@
 		d.admit(e, s)
 		return
 	}
-	if reason, retry := s.Barrier(e); reason != descriptor.Served {
+	if reason, retry := s.CheckAdmission(e); reason != descriptor.Served {
 		d.refuse(e, reason, descriptor.NotRun, retry)
 		return
 	}
--- a/decider/documents.go
+++ b/decider/documents.go
@@ -73,7 +73,7 @@
 	case descriptor.KindBackends:
 		d.applyBackends(document)
 	case descriptor.KindEjections:
-		d.onService(document.Name, func(s *balancer.Balancer[E, D, P, L]) { s.Eject(d.now, document) })
+		d.onService(document.Name, func(s *balancer.Balancer[E, D, P, L]) { s.SetEjections(d.now, document) })
 	}
 }
 
@@ -128,7 +128,9 @@
 
 func (d *Decider[E, D, P, L]) applyBackends(document descriptor.Document) {
 	d.updateServingCount(document.Name)
-	d.onService(document.Name, func(s *balancer.Balancer[E, D, P, L]) { s.List(d.now, document.Backends, d.relayer.RestoreDeadline()) })
+	d.onService(document.Name, func(s *balancer.Balancer[E, D, P, L]) {
+		s.SetBackends(d.now, document.Backends, d.relayer.RestoreDeadline())
+	})
 }
 
 // updateServingCount sets how many instances serve a service, from the slots of
@@ -199,7 +201,7 @@
 	if !d.served.Has(service) && containsMember(serving, d.options.Self.ID) {
 		d.startServing(service)
 	}
-	d.onService(service, func(s *balancer.Balancer[E, D, P, L]) { s.Serve(d.now, serving) })
+	d.onService(service, func(s *balancer.Balancer[E, D, P, L]) { s.SetOwners(d.now, serving) })
 }
 
 // updateRoutedServing applies the instances that callers are sent to as the slot
@@ -209,7 +211,7 @@
 		d.startServing(service)
 	}
 	serving := d.index.Get(callersRole)
-	d.onService(service, func(s *balancer.Balancer[E, D, P, L]) { s.Serve(d.now, serving) })
+	d.onService(service, func(s *balancer.Balancer[E, D, P, L]) { s.SetOwners(d.now, serving) })
 }
 
 // startServing creates the balancer of a service that this instance begins to
@@ -220,20 +222,20 @@
 		return
 	}
 	s := balancer.New[E, D, P, L](known.service, balancer.Options{
-		Self:      d.options.Self.ID,
-		Seed:      d.options.Seed,
-		NextWrite: d.nextWrite,
-		Guests:    d.options.Routing,
-		Domain:    d.options.Self.Domain,
-		Retries:   d.options.Retries,
+		Self:           d.options.Self.ID,
+		Seed:           d.options.Seed,
+		NextWrite:      d.nextWrite,
+		PooledOutcomes: d.options.Routing,
+		Domain:         d.options.Self.Domain,
+		Retries:        d.options.Retries,
 	})
 	s.Declare(known.service, known.revision)
 	d.counter.InForce(d.now, service, known.revision)
 	if list, ok := d.spreader.Get(descriptor.KindBackends, service); ok {
-		s.List(d.now, list.Backends, time.Time{})
+		s.SetBackends(d.now, list.Backends, time.Time{})
 	}
 	if set, ok := d.spreader.Get(descriptor.KindEjections, service); ok {
-		s.Eject(d.now, set)
+		s.SetEjections(d.now, set)
 	}
 	d.served.Put(service, s)
 }
@@ -246,7 +248,7 @@
 	}
 	var done []string
 	for service, s := range d.served.All {
-		if !s.Serves() && !s.Busy() {
+		if !s.OwnsSlots() && !s.Busy() {
 			done = append(done, service)
 		}
 	}
--- a/decider/receive.go
+++ b/decider/receive.go
@@ -130,13 +130,13 @@
 func (d *Decider[E, D, P, L]) handleServiceMessage(from descriptor.Member, message descriptor.Message) {
 	switch m := message.(type) {
 	case descriptor.Outcomes:
-		d.onService(m.Service, func(s *balancer.Balancer[E, D, P, L]) { s.HearOutcomes(d.now, m) })
+		d.onService(m.Service, func(s *balancer.Balancer[E, D, P, L]) { s.HandleOutcomes(d.now, m) })
 	case descriptor.Evidence:
-		d.onService(m.Service, func(s *balancer.Balancer[E, D, P, L]) { s.HearEvidence(d.now, from.ID, m) })
+		d.onService(m.Service, func(s *balancer.Balancer[E, D, P, L]) { s.HandleEvidence(d.now, from.ID, m) })
 	case descriptor.Crash:
-		d.onService(m.Service, func(s *balancer.Balancer[E, D, P, L]) { s.HearCrash(d.now, m) })
+		d.onService(m.Service, func(s *balancer.Balancer[E, D, P, L]) { s.HandleCrash(d.now, m) })
 	case descriptor.Drain:
-		d.onService(m.Service, func(s *balancer.Balancer[E, D, P, L]) { s.HearDrain(d.now, m) })
+		d.onService(m.Service, func(s *balancer.Balancer[E, D, P, L]) { s.HandleDrain(d.now, m) })
 	case descriptor.SlotDemand:
 		d.onService(m.Service, func(s *balancer.Balancer[E, D, P, L]) { s.HandleSlotDemand(d.now, from, m) })
 	case descriptor.SlotLease:
@@ -186,7 +186,7 @@
 	document, ok := s.Written(e)
 	if ok {
 		d.spreader.Take(document, "")
-		s.Eject(d.now, document)
+		s.SetEjections(d.now, document)
 	}
 	d.collect(service, s)
 }
--- a/decider/tick.go
+++ b/decider/tick.go
@@ -85,7 +85,7 @@
 // freshness announcements.
 func (d *Decider[E, D, P, L]) updateWatching() {
 	chosen := containsMember(d.index.Get(watchRole), d.options.Self.ID)
-	alone := !d.synced && d.now.Sub(d.started) >= d.options.Patience
+	alone := !d.synced && d.now.Sub(d.started) >= d.options.PeerWait
 	if d.options.Routing && d.synced {
 		alone = d.relayer.MustQuery(d.now, d.options.kinds())
 	}
--- a/experimenter/surroundings.go
+++ b/experimenter/surroundings.go
@@ -13,11 +13,11 @@
 	b := s.balancers[to]
 	switch m := a.Message.(type) {
 	case descriptor.Evidence:
-		b.HearEvidence(s.now, s.members[from].ID, m)
+		b.HandleEvidence(s.now, s.members[from].ID, m)
 	case descriptor.Crash:
-		b.HearCrash(s.now, m)
+		b.HandleCrash(s.now, m)
 	case descriptor.Drain:
-		b.HearDrain(s.now, m)
+		b.HandleDrain(s.now, m)
 	case descriptor.SlotDemand:
 		b.HandleSlotDemand(s.now, s.members[from], m)
 	case descriptor.SlotLease:
@@ -45,7 +45,7 @@
 	}
 	document, ok := s.balancers[i].Written(e)
 	if ok {
-		s.balancers[i].Eject(s.now, document)
+		s.balancers[i].SetEjections(s.now, document)
 	}
 	s.performActions(i)
 	if e.Result != descriptor.WriteAccepted {
@@ -54,7 +54,7 @@
 	for k := range s.balancers {
 		if k != i {
 			s.after(messageDelay, func() {
-				s.balancers[k].Eject(s.now, document)
+				s.balancers[k].SetEjections(s.now, document)
 				s.performActions(k)
 			})
 		}
--- a/experimenter/world.go
+++ b/experimenter/world.go
@@ -152,8 +152,8 @@
 				return s.writes
 			},
 		})
-		b.List(s.now, list, time.Time{})
-		b.Serve(s.now, s.members)
+		b.SetBackends(s.now, list, time.Time{})
+		b.SetOwners(s.now, s.members)
 		s.balancers = append(s.balancers, b)
 	}
 	for _, c := range x.Service.Classes {
--- a/server/server.go
+++ b/server/server.go
@@ -183,7 +183,7 @@
 	o := decider.Options{
 		Self:     s.self,
 		Seed:     uint64(now.UnixNano()),
-		Patience: s.settings.Platform.Patience,
+		PeerWait: s.settings.Platform.Patience,
 		Routing:  s.usesRouting(),
 		Retries:  retrier.Bounds(s.settings.Retries),
 		Grace:    s.settings.Limits.Grace,
