--- a/assembler/assembler.go
+++ b/assembler/assembler.go
@@ -170,7 +170,7 @@
 	if out == nil {
 		out = io.Discard
 	}
-	log, err := logger.New(out, settings.Log.Level, settings.Log.Format, settings.Instance.Name, logger.Volume{Notable: settings.Log.Notable, Sampled: settings.Log.Sampled})
+	log, err := logger.New(out, settings.Log.Level, settings.Log.Format, settings.Instance.Name, logger.RequestLimits{Notable: settings.Log.Notable, Sampled: settings.Log.Sampled})
 	if err != nil {
 		return nil, err
 	}
--- a/balancer/backend.go
+++ b/balancer/backend.go
@@ -106,9 +106,9 @@
 	rampFrom time.Time
 	// coldUntil is until when service times are not used as evidence.
 	coldUntil time.Time
-	// mayReturnUntil is until when an unlisted backend server may be listed again
+	// restoreDeadline is until when an unlisted backend server may be listed again
 	// after an outage of the store. Zero means that it is listed.
-	mayReturnUntil time.Time
+	restoreDeadline time.Time
 	// drainUntil is until when an announced drain stays in effect.
 	drainUntil time.Time
 	// probeAt is the time of the next probe while the backend server is down.
--- a/balancer/list.go
+++ b/balancer/list.go
@@ -46,7 +46,7 @@
 		}
 	}
 	listed = b.withKnownLeaving(listed)
-	s.mayReturnUntil = time.Time{}
+	s.restoreDeadline = time.Time{}
 	s = s.WithListed(listed).WithShare(b.shareOf(listed))
 	if listed.Leaving {
 		s = s.WithMode(modeLeaving)
@@ -76,7 +76,7 @@
 		b.delist(id)
 		return
 	}
-	s.mayReturnUntil = restoreDeadline
+	s.restoreDeadline = restoreDeadline
 	b.backends.Put(id, s)
 }
 
@@ -84,7 +84,7 @@
 func (b *Balancer[E, D, P, L]) dropMissing() {
 	var missing []string
 	for id, s := range b.backends.All {
-		if !s.mayReturnUntil.IsZero() && !b.now.Before(s.mayReturnUntil) {
+		if !s.restoreDeadline.IsZero() && !b.now.Before(s.restoreDeadline) {
 			missing = append(missing, id)
 		}
 	}
--- a/balancer/trace.go
+++ b/balancer/trace.go
@@ -8,7 +8,7 @@
 	if !b.options.PooledOutcomes {
 		return
 	}
-	t := descriptor.Trace{
+	t := descriptor.TraceEntry{
 		At:       b.now,
 		Number:   number,
 		Request:  r.id,
@@ -20,10 +20,10 @@
 		Cause:    cause,
 	}
 	if !r.deadline.IsZero() {
-		t.Left = r.deadline.Sub(b.now)
+		t.TimeLeft = r.deadline.Sub(b.now)
 	}
 	if s, ok := b.backends.Get(backend); ok {
-		t.Trust = s.estimate.ServeProbability(b.now)
+		t.ServeProbability = s.estimate.ServeProbability(b.now)
 		t.Load = s.load(b.now)
 	}
 	b.emit(t)
--- a/commander/serve.go
+++ b/commander/serve.go
@@ -28,8 +28,8 @@
 	if err != nil {
 		return err
 	}
-	volume := logger.Volume{Notable: settings.Log.Notable, Sampled: settings.Log.Sampled}
-	l, err := logger.New(out, settings.Log.Level, settings.Log.Format, settings.Instance.Name, volume)
+	limits := logger.RequestLimits{Notable: settings.Log.Notable, Sampled: settings.Log.Sampled}
+	l, err := logger.New(out, settings.Log.Level, settings.Log.Format, settings.Instance.Name, limits)
 	if err != nil {
 		return eris.Wrapf(configurer.ErrInvalid, "%v", err)
 	}
--- a/decider/decider.go
+++ b/decider/decider.go
@@ -102,7 +102,7 @@
 	// requests maps each open request to its service.
 	requests *container.Table[descriptor.RequestID, string]
 	// traces holds the trace entries of each open request.
-	traces *container.Table[descriptor.RequestID, []descriptor.Trace]
+	traces *container.Table[descriptor.RequestID, []descriptor.TraceEntry]
 	notes  *container.Ring[descriptor.Note]
 
 	// synced reports whether the configuration is known, and watching whether
@@ -159,7 +159,7 @@
 		declared:  container.NewTable[string, declaration](),
 		served:    container.NewTable[string, *balancer.Balancer[E, D, P, L]](),
 		requests:  container.NewTable[descriptor.RequestID, string](),
-		traces:    container.NewTable[descriptor.RequestID, []descriptor.Trace](),
+		traces:    container.NewTable[descriptor.RequestID, []descriptor.TraceEntry](),
 		notes:     container.NewRing[descriptor.Note](maxNotes),
 		dirty:     true,
 	}
@@ -277,7 +277,7 @@
 	d.actions, d.ended = s.Flush(d.actions, d.ended[:0])
 	kept := d.actions[:before]
 	for _, a := range d.actions[before:] {
-		if t, ok := a.(descriptor.Trace); ok {
+		if t, ok := a.(descriptor.TraceEntry); ok {
 			d.recordTrace(t)
 			continue
 		}
--- a/decider/trail.go
+++ b/decider/trace.go
@@ -9,7 +9,7 @@
 const maxTraceEntries = 32
 
 // recordTrace keeps a trace entry until its request ends.
-func (d *Decider[E, D, P, L]) recordTrace(t descriptor.Trace) {
+func (d *Decider[E, D, P, L]) recordTrace(t descriptor.TraceEntry) {
 	entries, _ := d.traces.Get(t.Request)
 	if len(entries) < maxTraceEntries {
 		d.traces.Put(t.Request, append(entries, t))
@@ -26,19 +26,19 @@
 	list, _ := d.spreader.Get(descriptor.KindBackends, service)
 	known, _ := d.declared.Get(service)
 	class, _ := known.service.Class(e.Class)
-	d.emit(descriptor.Trail{
-		At:       d.now,
-		Request:  e.Request,
-		Label:    e.Label,
-		Service:  service,
-		Class:    e.Class,
-		Revision: known.revision,
-		Listed:   list.Revision,
-		Current:  d.now.Sub(d.relayer.Current(d.options.kinds())),
-		Reason:   e.Reason,
-		Outcome:  e.Outcome,
-		Latency:  e.Latency,
-		Target:   class.Target,
-		Lines:    entries,
+	d.emit(descriptor.RequestTrace{
+		At:               d.now,
+		Request:          e.Request,
+		Label:            e.Label,
+		Service:          service,
+		Class:            e.Class,
+		Revision:         known.revision,
+		BackendsRevision: list.Revision,
+		ConfirmationAge:  d.now.Sub(d.relayer.Current(d.options.kinds())),
+		Reason:           e.Reason,
+		Outcome:          e.Outcome,
+		Latency:          e.Latency,
+		Target:           class.Target,
+		Entries:          entries,
 	})
 }
--- a/descriptor/trace.go
+++ b/descriptor/trace.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Trace is one entry of a request trace: a decision and the inputs it is based on.
-type Trace struct {
+// TraceEntry is one entry of a request trace: a decision and the inputs it is based on.
+type TraceEntry struct {
 	At time.Time
 	// Number is the number of the log event.
 	Number  int
@@ -11,49 +11,49 @@
 	Attempt AttemptID
 	// Backend is the backend server concerned, or empty.
 	Backend string
-	// Trust is the estimated probability that the backend server serves the
+	// ServeProbability is the estimated probability that the backend server serves the
 	// request, and Load its estimated number of requests per slot.
-	Trust, Load float64
+	ServeProbability, Load float64
 	// Queued and InFlight count the requests of the service at this instance.
 	Queued, InFlight int
-	// Left is the time left until the deadline, or zero.
-	Left time.Duration
+	// TimeLeft is the time left until the deadline, or zero.
+	TimeLeft time.Duration
 	// Status is the HTTP status of a response, or zero.
 	Status int
 	// Cause is the reason of the decision in one or two words, or empty.
 	Cause string
 }
 
-// Trail is the request trace of a request that ended: all decisions about it.
-type Trail struct {
+// RequestTrace is the request trace of a request that ended: all decisions about it.
+type RequestTrace struct {
 	// At is the time at which the request ended.
 	At      time.Time
 	Request RequestID
 	// Label is the caller's own identifier of the request.
 	Label          string
 	Service, Class string
-	// Revision is the revision of the declaration in force, and Listed that of
-	// the list of backend servers.
-	Revision, Listed uint64
-	// Current is the time since both revisions were last confirmed to be the
+	// Revision is the revision of the declaration in force, and BackendsRevision that
+	// of the list of backend servers.
+	Revision, BackendsRevision uint64
+	// ConfirmationAge is the time since both revisions were last confirmed to be the
 	// newest.
-	Current time.Duration
-	Reason  Reason
-	Outcome Outcome
-	Latency time.Duration
+	ConfirmationAge time.Duration
+	Reason          Reason
+	Outcome         Outcome
+	Latency         time.Duration
 	// Target is the target latency of the class.
 	Target time.Duration
-	// Lines holds the entries in the order of the decisions.
-	Lines []Trace
+	// Entries holds the entries in the order of the decisions.
+	Entries []TraceEntry
 }
 
 // Notable reports whether the request failed, was refused, was retried, or took
 // longer than its target.
-func (t Trail) Notable() bool {
+func (t RequestTrace) Notable() bool {
 	if t.Reason != Served || t.Latency > t.Target {
 		return true
 	}
-	for _, l := range t.Lines {
+	for _, l := range t.Entries {
 		if l.Attempt > 1 || l.Status >= minFailureStatus {
 			return true
 		}
@@ -65,5 +65,5 @@
 // server.
 const minFailureStatus = 500
 
-func (Trace) action() {}
-func (Trail) action() {}
+func (TraceEntry) action()   {}
+func (RequestTrace) action() {}
--- a/logger/logger.go
+++ b/logger/logger.go
@@ -65,17 +65,17 @@
 	requestBudget requestBudget
 }
 
-// Volume bounds the number of requests that are logged.
-type Volume struct {
+// RequestLimits bounds the number of requests that are logged.
+type RequestLimits struct {
 	// Notable is the number of requests per second that are logged because they failed,
 	// were refused, were retried or missed their target. Sampled is the number of other
 	// requests per second.
 	Notable, Sampled float64
 }
 
-// New returns a logger with the given level and format, which is text or json. It returns
-// ErrSetting if the level or the format is unknown.
-func New(w io.Writer, level, format, instance string, v Volume) (*Logger, error) {
+// New returns a logger with the given level and format, which is text or json. It
+// returns ErrSetting if the level or the format is unknown.
+func New(w io.Writer, level, format, instance string, v RequestLimits) (*Logger, error) {
 	l := logrus.New()
 	out := newWriter(w)
 	l.SetOutput(out)
--- a/logger/trail.go
+++ b/logger/request.go
@@ -37,7 +37,7 @@
 
 // requestBudget decides which requests are logged.
 type requestBudget struct {
-	volume          Volume
+	volume          RequestLimits
 	mu              sync.Mutex
 	notable, sample quota
 	// omitted and omittedNotable count the requests that were not logged since
@@ -73,7 +73,7 @@
 }
 
 // LogRequest writes the events of a request, if the budget allows.
-func (l *Logger) LogRequest(now time.Time, t descriptor.Trail) {
+func (l *Logger) LogRequest(now time.Time, t descriptor.RequestTrace) {
 	admitted, omitted, notable := l.requestBudget.admit(now, t.Notable())
 	if omitted > 0 {
 		l.entry.WithFields(logrus.Fields{
@@ -83,30 +83,30 @@
 	if !admitted {
 		return
 	}
-	for _, line := range t.Lines {
+	for _, line := range t.Entries {
 		l.logEntry(t, line)
 	}
 	e := Catalogue[descriptor.NoteEnded]
 	l.entry.WithFields(logrus.Fields{
 		"event": descriptor.NoteEnded, "at": t.At.Format(time.RFC3339Nano), "id": t.Label, "request": t.Request, "service": t.Service, "class": t.Class,
 		"reason": t.Reason.String(), "outcome": t.Outcome.String(), "millis": millis(t.Latency), "target": millis(t.Target),
-		"revision": t.Revision, "listed": t.Listed, "currentage": millis(t.Current),
+		"revision": t.Revision, "listed": t.BackendsRevision, "currentage": millis(t.ConfirmationAge),
 	}).Log(e.Level, e.Text)
 }
 
 // logEntry writes one event of a request.
-func (l *Logger) logEntry(t descriptor.Trail, line descriptor.Trace) {
+func (l *Logger) logEntry(t descriptor.RequestTrace, line descriptor.TraceEntry) {
 	fields := logrus.Fields{
 		"event": line.Number, "id": t.Label, "request": t.Request, "service": t.Service,
 		"at": line.At.Format(time.RFC3339Nano), "queued": line.Queued, "inflight": line.InFlight,
 	}
-	if line.Left != 0 {
-		fields["left"] = millis(line.Left)
+	if line.TimeLeft != 0 {
+		fields["left"] = millis(line.TimeLeft)
 	}
 	if line.Backend != "" {
 		fields["backend"] = line.Backend
 		fields["attempt"] = line.Attempt
-		fields["trust"] = roundToThousandths(line.Trust)
+		fields["trust"] = roundToThousandths(line.ServeProbability)
 		fields["load"] = roundToThousandths(line.Load)
 	}
 	if line.Status != 0 {
--- a/server/server.go
+++ b/server/server.go
@@ -217,7 +217,7 @@
 		s.follower.SetActive(a.Active)
 	case descriptor.Note:
 		s.log.Note(a)
-	case descriptor.Trail:
+	case descriptor.RequestTrace:
 		s.log.LogRequest(time.Now(), a)
 	case descriptor.Leave:
 		if !s.isExitAllowed.Swap(true) {
