--- a/balancer/answer.go
+++ b/balancer/answer.go
@@ -219,7 +219,7 @@
 
 // Gone handles a caller that disconnected. Work that is idempotent or has not started
 // is abandoned; other work runs on so that its outcome is known.
-func (b *Balancer[E, D, P, L]) Gone(e descriptor.Gone) {
+func (b *Balancer[E, D, P, L]) Gone(e descriptor.CallerGone) {
 	b.advance(e.At)
 	r, ok := b.requests.Get(e.Request)
 	if !ok {
--- a/balancer/balancer_test.go
+++ b/balancer/balancer_test.go
@@ -123,7 +123,7 @@
 }
 
 func (x *fixture) fail(p descriptor.Dispatch, fault descriptor.Fault) {
-	x.b.Failed(descriptor.Failed{At: x.now, Request: p.Request, Attempt: p.Attempt, Fault: fault, Untouched: true})
+	x.b.Failed(descriptor.Failed{At: x.now, Request: p.Request, Attempt: p.Attempt, Fault: fault, BodyReplayable: true})
 	x.take()
 }
 
@@ -301,13 +301,13 @@
 		id, p := x.arrive("visit", nil)
 		x.b.Answered(descriptor.Answered{At: x.now, Request: id, Attempt: p.Attempt, Status: 200})
 		x.take()
-		x.fail(*p, descriptor.FaultCut)
+		x.fail(*p, descriptor.FaultTruncated)
 		x.wantRefusal(id, descriptor.AnswerCut, descriptor.Ran)
 	})
 	t.Run("idempotent work is cancelled when its caller disconnects", func(t *testing.T) {
 		x := newFixture(t, 1, 2, 1)
 		id, p := x.arrive("visit", nil)
-		x.b.Gone(descriptor.Gone{At: x.now, Request: id})
+		x.b.Gone(descriptor.CallerGone{At: x.now, Request: id})
 		x.take()
 		asserter.Equal(t, "first action", x.actions[0], descriptor.Action(descriptor.Cancel{Request: id, Attempt: p.Attempt}))
 		asserter.Equal(t, "open requests", x.b.Open(), 0)
@@ -315,7 +315,7 @@
 	t.Run("non-idempotent work runs on when its caller disconnects", func(t *testing.T) {
 		x := newFixture(t, 1, 2, 1)
 		id, p := x.arrive("booking", nil)
-		x.b.Gone(descriptor.Gone{At: x.now, Request: id})
+		x.b.Gone(descriptor.CallerGone{At: x.now, Request: id})
 		x.take()
 		asserter.Equal(t, "actions", len(x.actions), 0)
 		x.b.Answered(descriptor.Answered{At: x.now, Request: id, Attempt: p.Attempt, Status: 200})
@@ -365,8 +365,8 @@
 	})
 	t.Run("crashes at another instance count", func(t *testing.T) {
 		x := newFixture(t, 2, 6, 3)
-		x.b.HandleCrash(x.now, descriptor.Crash{Fingerprint: 99, Backend: "b1"})
-		x.b.HandleCrash(x.now, descriptor.Crash{Fingerprint: 99, Backend: "b2"})
+		x.b.HandleCrash(x.now, descriptor.CrashReport{Fingerprint: 99, Backend: "b1"})
+		x.b.HandleCrash(x.now, descriptor.CrashReport{Fingerprint: 99, Backend: "b2"})
 		id, _ := x.arrive("visit", mark)
 		x.wantRefusal(id, descriptor.Poisoned, descriptor.NotRun)
 	})
--- a/balancer/fail.go
+++ b/balancer/fail.go
@@ -19,7 +19,7 @@
 	b.trace(r, descriptor.NoteAttemptFailed, a.id, a.backend, e.Fault.String(), 0)
 	b.release(r, i)
 	r = r.WithoutAttempt(i)
-	ran := e.Fault != descriptor.FaultConnect && e.Fault != descriptor.FaultShed && e.Fault != descriptor.FaultForeign
+	ran := e.Fault != descriptor.FaultConnect && e.Fault != descriptor.FaultShed && e.Fault != descriptor.FaultWrongBackend
 	if ran {
 		r = r.WithMayHaveRun()
 	} else {
@@ -39,7 +39,7 @@
 	if r.count > 0 {
 		return
 	}
-	if e.Fault == descriptor.FaultSource || r.callerGone {
+	if e.Fault == descriptor.FaultRequestBody || r.callerGone {
 		b.refuse(r, descriptor.Abandoned, r.outcome(), 0)
 		return
 	}
@@ -51,7 +51,7 @@
 	if ran && b.poisoned(r.fingerprint) {
 		reason = descriptor.Poisoned
 	}
-	if e.Fault == descriptor.FaultShed || e.Fault == descriptor.FaultForeign {
+	if e.Fault == descriptor.FaultShed || e.Fault == descriptor.FaultWrongBackend {
 		reason = descriptor.Overloaded
 	}
 	b.refuse(r, reason, r.outcome(), retryAfter)
@@ -63,7 +63,7 @@
 	if b.exhausted(r) || b.backends.Len() <= int(r.last) {
 		return false
 	}
-	if !r.replayable && !e.Untouched {
+	if !r.replayable && !e.BodyReplayable {
 		return false
 	}
 	if ran && (!b.classes[r.class].declared.Idempotent || !r.replayable || b.poisoned(r.fingerprint)) {
@@ -143,13 +143,13 @@
 	switch e.Fault {
 	case descriptor.FaultConnect:
 		s = b.refusedConnection(s)
-	case descriptor.FaultForeign:
+	case descriptor.FaultWrongBackend:
 		s = b.markDraining(s)
 	case descriptor.FaultShed:
 		s = b.shed(s, e)
 	case descriptor.FaultBroken:
 		s = b.recordBrokenConnection(s, r, a)
-	case descriptor.FaultCut, descriptor.FaultStatus:
+	case descriptor.FaultTruncated, descriptor.FaultStatus:
 		s = b.observe(s, r.class, a, true)
 	}
 	b.putBackend(p, s)
--- a/balancer/poison.go
+++ b/balancer/poison.go
@@ -70,7 +70,7 @@
 // recordCrash records a crash and notifies the other owners.
 func (b *Balancer[E, D, P, L]) recordCrash(fingerprint uint64, id string) {
 	b.addCrash(fingerprint, id)
-	b.sendToOwners(descriptor.Crash{Service: b.service.Name, Fingerprint: fingerprint, Backend: id})
+	b.sendToOwners(descriptor.CrashReport{Service: b.service.Name, Fingerprint: fingerprint, Backend: id})
 }
 
 func (b *Balancer[E, D, P, L]) addCrash(fingerprint uint64, id string) {
@@ -92,7 +92,7 @@
 		return
 	}
 	b.crashes.Delete(fingerprint)
-	b.sendToOwners(descriptor.Crash{Service: b.service.Name, Fingerprint: fingerprint, Cleared: true})
+	b.sendToOwners(descriptor.CrashReport{Service: b.service.Name, Fingerprint: fingerprint, Cleared: true})
 }
 
 // withdrawCrashes removes the crashes recorded for a backend server that was found to
@@ -109,12 +109,12 @@
 		} else {
 			b.crashes.Put(fingerprint, c)
 		}
-		b.sendToOwners(descriptor.Crash{Service: b.service.Name, Fingerprint: fingerprint, Backend: id, Cleared: true})
+		b.sendToOwners(descriptor.CrashReport{Service: b.service.Name, Fingerprint: fingerprint, Backend: id, Cleared: true})
 	}
 }
 
 // HandleCrash handles a crash, or its withdrawal, reported by another owner.
-func (b *Balancer[E, D, P, L]) HandleCrash(now time.Time, m descriptor.Crash) {
+func (b *Balancer[E, D, P, L]) HandleCrash(now time.Time, m descriptor.CrashReport) {
 	b.advance(now)
 	if !m.Cleared {
 		b.addCrash(m.Fingerprint, m.Backend)
--- a/balancer/routed_test.go
+++ b/balancer/routed_test.go
@@ -246,7 +246,7 @@
 	if f.random.Float64() < f.load.shedShare(f.now) {
 		f.schedule(f.now+quickFailure, func() {
 			f.instances[instance].Failed(descriptor.Failed{
-				At: f.time(), Request: d.Request, Attempt: d.Attempt, Fault: descriptor.FaultShed, Untouched: true,
+				At: f.time(), Request: d.Request, Attempt: d.Attempt, Fault: descriptor.FaultShed, BodyReplayable: true,
 				Load: descriptor.Load{Known: true, Running: f.busy[backend], Slots: f.load.slots},
 			})
 			f.collect(instance)
--- a/counter/counter.go
+++ b/counter/counter.go
@@ -196,7 +196,7 @@
 }
 
 // Confirm handles the receipt for a version that was written to the store.
-func (c *Counter) Confirm(r descriptor.Receipt) {
+func (c *Counter) Confirm(r descriptor.TallyReceipt) {
 	s, ok := c.services.Get(r.Service)
 	if ok && r.Incarnation == c.self.Incarnation && r.Version > s.confirmed {
 		s.confirmed = r.Version
--- a/counter/writer.go
+++ b/counter/writer.go
@@ -163,7 +163,7 @@
 // AddressedReceipt is a receipt with the instance that it is to be sent to.
 type AddressedReceipt struct {
 	Instance string
-	Receipt  descriptor.Receipt
+	Receipt  descriptor.TallyReceipt
 }
 
 // Written handles the result of a write. It returns the receipts to send, and
@@ -235,7 +235,7 @@
 			continue
 		}
 		s.stored.Put(owner, t.Version)
-		receipt := descriptor.Receipt{Service: t.Service, Incarnation: t.Incarnation, Version: t.Version}
+		receipt := descriptor.TallyReceipt{Service: t.Service, Incarnation: t.Incarnation, Version: t.Version}
 		result = append(result, AddressedReceipt{Instance: t.Instance, Receipt: receipt})
 	}
 	return result
--- a/decider/decider.go
+++ b/decider/decider.go
@@ -108,10 +108,10 @@
 	// synced reports whether the configuration is known, and watching whether
 	// this instance watches the platform's store.
 	synced, watching bool
-	// membersSettled reports whether the list of members is taken to be complete;
+	// membersKnown reports whether the list of members is taken to be complete;
 	// syncedAt is when synced was set.
-	membersSettled bool
-	syncedAt       time.Time
+	membersKnown bool
+	syncedAt     time.Time
 	// lastMemberAt is when a new member was last added.
 	lastMemberAt time.Time
 	// dirty reports whether the content of the directory changed, and timeDirty
@@ -203,7 +203,7 @@
 		d.onRequest(e.Request, func(s *balancer.Balancer[E, D, P, L]) { s.Finished(e) })
 	case descriptor.Failed:
 		d.onRequest(e.Request, func(s *balancer.Balancer[E, D, P, L]) { s.Failed(e) })
-	case descriptor.Gone:
+	case descriptor.CallerGone:
 		d.callerGone(e)
 	case descriptor.Probed:
 		d.onService(e.Service, func(s *balancer.Balancer[E, D, P, L]) { s.Probed(e) })
@@ -216,11 +216,11 @@
 	case descriptor.LinkClosed:
 		d.gossiper.LinkClosed(e)
 		d.spreader.Forget(e.Peer)
-	case descriptor.Learned:
-		d.learnDocuments(e)
+	case descriptor.DocumentsRead:
+		d.handleDocumentsRead(e)
 	case descriptor.Written:
 		d.handleWritten(e)
-	case descriptor.Quit:
+	case descriptor.ShutdownRequested:
 		d.startLeaving()
 	}
 	d.applyMemberChanges()
@@ -378,7 +378,7 @@
 	d.counter.End(d.now, e.Service, e.Class, reason, outcome, 0, 0)
 }
 
-func (d *Decider[E, D, P, L]) callerGone(e descriptor.Gone) {
+func (d *Decider[E, D, P, L]) callerGone(e descriptor.CallerGone) {
 	if arrived, ok := d.keeper.CancelWait(e.Request); ok {
 		d.refuse(arrived, descriptor.Abandoned, descriptor.NotRun, 0)
 		return
--- a/decider/decider_test.go
+++ b/decider/decider_test.go
@@ -50,10 +50,10 @@
 	}},
 	{"failed", func(d *driver) {
 		d.arrive("entry-0", 1, "read", "")
-		d.step("entry-0", descriptor.Failed{At: d.now, Request: 1, Attempt: 1, Fault: descriptor.FaultConnect, Untouched: true})
+		d.step("entry-0", descriptor.Failed{At: d.now, Request: 1, Attempt: 1, Fault: descriptor.FaultConnect, BodyReplayable: true})
 		d.serve("entry-0", 1)
 		d.arrive("entry-0", 2, "invoice", d.ticket("entry-0", "a"))
-		d.step("entry-0", descriptor.Failed{At: d.now, Request: 2, Attempt: 1, Fault: descriptor.FaultBroken, Untouched: true})
+		d.step("entry-0", descriptor.Failed{At: d.now, Request: 2, Attempt: 1, Fault: descriptor.FaultBroken, BodyReplayable: true})
 		d.arrive("entry-0", 3, "invoice", d.ticket("entry-0", "a"))
 	}},
 	{"closing", func(d *driver) {
@@ -67,7 +67,7 @@
 	}},
 	{"quit", func(d *driver) {
 		d.arrive("entry-0", 1, "read", "")
-		d.step("entry-0", descriptor.Quit{At: d.now})
+		d.step("entry-0", descriptor.ShutdownRequested{At: d.now})
 		d.arrive("entry-0", 2, "read", "")
 		d.run(200 * time.Millisecond)
 		d.serve("entry-0", 1)
@@ -118,7 +118,7 @@
 			asserter.Equal(t, "state at "+id, s.service.State, declarer.Closing)
 		}
 		old := testDeclaration(declarer.Open)
-		d.step("entry-5", descriptor.Learned{At: d.now, Documents: []descriptor.Document{{Kind: descriptor.KindService, Name: "billing", Revision: 1, Service: &old}}})
+		d.step("entry-5", descriptor.DocumentsRead{At: d.now, Documents: []descriptor.Document{{Kind: descriptor.KindService, Name: "billing", Revision: 1, Service: &old}}})
 		s, _ := d.nodes["entry-5"].declared.Get("billing")
 		asserter.Equal(t, "state after an old revision", s.service.State, declarer.Closing)
 	})
@@ -187,7 +187,7 @@
 		asserter.Equal(t, "refusal", d.refusal(request).Reason, descriptor.KeyUsed)
 	}
 	t.Run("the key stays used after its issuer left", func(t *testing.T) {
-		d.step("entry-0", descriptor.Quit{At: d.now})
+		d.step("entry-0", descriptor.ShutdownRequested{At: d.now})
 		d.run(10 * time.Second)
 		asserter.True(t, "left", d.left["entry-0"])
 		d.arrive("entry-2", 30, "invoice", key)
@@ -208,7 +208,7 @@
 	d.run(20 * time.Second)
 	d.outage = false
 	for _, id := range d.order[1:] {
-		d.step(id, descriptor.Quit{At: d.now})
+		d.step(id, descriptor.ShutdownRequested{At: d.now})
 	}
 	d.run(20 * time.Second)
 	var received, served uint64
@@ -243,7 +243,7 @@
 			for i := range backends {
 				list = append(list, descriptor.Backend{ID: fmt.Sprintf("b%d", i), Slots: 6})
 			}
-			node.Step(descriptor.Learned{At: now, Complete: true, Documents: []descriptor.Document{
+			node.Step(descriptor.DocumentsRead{At: now, Complete: true, Documents: []descriptor.Document{
 				{Kind: descriptor.KindService, Name: "billing", Revision: 1, Service: &s},
 				{Kind: descriptor.KindBackends, Name: "billing", Revision: 1, Backends: list},
 			}})
--- a/decider/documents.go
+++ b/decider/documents.go
@@ -10,8 +10,8 @@
 	"monsoonswitch/gossiper"
 )
 
-// learnDocuments handles documents read from the platform's store.
-func (d *Decider[E, D, P, L]) learnDocuments(e descriptor.Learned) {
+// handleDocumentsRead handles documents read from the platform's store.
+func (d *Decider[E, D, P, L]) handleDocumentsRead(e descriptor.DocumentsRead) {
 	d.relayer.RecordResponse(d.now, e.AsOf)
 	for _, document := range e.Documents {
 		d.applyDocument(document, "")
@@ -38,7 +38,7 @@
 
 // confirmFresh records the time as of which the documents of a kind are the
 // newest.
-func (d *Decider[E, D, P, L]) confirmFresh(e descriptor.Learned) {
+func (d *Decider[E, D, P, L]) confirmFresh(e descriptor.DocumentsRead) {
 	if e.AsOf.IsZero() {
 		return
 	}
@@ -317,7 +317,7 @@
 	if d.published != nil && !d.dirty {
 		*next = *d.published
 	} else {
-		services := make(map[string]*descriptor.Entry, d.declared.Len())
+		services := make(map[string]*descriptor.ServiceEntry, d.declared.Len())
 		for name, s := range d.declared.All {
 			services[name] = d.directoryEntry(name, s)
 		}
@@ -327,21 +327,21 @@
 	}
 	next.Ready = d.synced
 	next.Leaving = d.shutdown.started
-	next.Settled = d.options.Routing && d.membersSettled
+	next.MembersKnown = d.options.Routing && d.membersKnown
 	next.Current = d.relayer.Current(d.options.kinds())
 	d.published = next
 	return next
 }
 
-func (d *Decider[E, D, P, L]) directoryEntry(name string, known declaration) *descriptor.Entry {
+func (d *Decider[E, D, P, L]) directoryEntry(name string, known declaration) *descriptor.ServiceEntry {
 	serving := d.index.Get(name)
 	if d.options.Routing {
 		serving = d.index.Get(callersRole)
 	}
-	return &descriptor.Entry{
+	return &descriptor.ServiceEntry{
 		Service:  known.service,
 		Revision: known.revision,
 		Serving:  serving,
-		Here:     containsMember(serving, d.options.Self.ID),
+		Local:    containsMember(serving, d.options.Self.ID),
 	}
 }
--- a/decider/driver_test.go
+++ b/decider/driver_test.go
@@ -99,7 +99,7 @@
 		list = append(list, descriptor.Backend{ID: fmt.Sprintf("b%d", i), Address: fmt.Sprintf("b%d:80", i), Slots: 3})
 	}
 	documents = append(documents, descriptor.Document{Kind: descriptor.KindBackends, Name: s.Name, Revision: d.revision, Backends: list})
-	d.step(to, descriptor.Learned{At: d.now, Documents: documents, Complete: true, Kind: descriptor.KindService})
+	d.step(to, descriptor.DocumentsRead{At: d.now, Documents: documents, Complete: true, Kind: descriptor.KindService})
 }
 
 // step gives one event to a node and executes the actions that follow.
@@ -149,7 +149,7 @@
 		d.step(id, d.putTallies(a))
 	case descriptor.WriteClaim:
 		d.step(id, d.claim(a))
-	case descriptor.Leave:
+	case descriptor.ShutdownComplete:
 		d.left[id] = true
 	}
 }
--- a/decider/leave.go
+++ b/decider/leave.go
@@ -57,7 +57,7 @@
 		// requests.
 		s.done = true
 		d.gossiper.Leave(d.now, "")
-		d.emit(descriptor.Leave{})
+		d.emit(descriptor.ShutdownComplete{})
 		return
 	}
 	if d.requests.Len() > 0 || d.keeper.Waiting() > 0 || d.now.Sub(s.at) < redirectTime {
@@ -76,7 +76,7 @@
 	}
 	if d.now.Sub(s.handedOverAt) >= finalSendTime {
 		s.done = true
-		d.emit(descriptor.Leave{})
+		d.emit(descriptor.ShutdownComplete{})
 	}
 }
 
--- a/decider/receive.go
+++ b/decider/receive.go
@@ -38,7 +38,7 @@
 		d.handleSuspicionList(m)
 	case descriptor.TallyReport:
 		d.writer.Merge(m.Tally)
-	case descriptor.Receipt:
+	case descriptor.TallyReceipt:
 		d.counter.Confirm(m)
 	case descriptor.Claim, descriptor.Verdict, descriptor.KeySettlement, descriptor.KeyHandover:
 		d.handleKeyMessage(from, m)
@@ -133,7 +133,7 @@
 		d.onService(m.Service, func(s *balancer.Balancer[E, D, P, L]) { s.HandleOutcomes(d.now, m) })
 	case descriptor.Evidence:
 		d.onService(m.Service, func(s *balancer.Balancer[E, D, P, L]) { s.HandleEvidence(d.now, from.ID, m) })
-	case descriptor.Crash:
+	case descriptor.CrashReport:
 		d.onService(m.Service, func(s *balancer.Balancer[E, D, P, L]) { s.HandleCrash(d.now, m) })
 	case descriptor.Drain:
 		d.onService(m.Service, func(s *balancer.Balancer[E, D, P, L]) { s.HandleDrain(d.now, m) })
@@ -170,7 +170,7 @@
 	}
 }
 
-func (d *Decider[E, D, P, L]) sendReceipt(instance string, r descriptor.Receipt) {
+func (d *Decider[E, D, P, L]) sendReceipt(instance string, r descriptor.TallyReceipt) {
 	if instance == d.options.Self.ID {
 		d.counter.Confirm(r)
 		return
--- a/decider/routed_test.go
+++ b/decider/routed_test.go
@@ -97,10 +97,10 @@
 func (f *routedFleet) read(id string, version uint64) {
 	f.calls++
 	routing := routingOf(version)
-	f.step(id, descriptor.Learned{At: f.now, AsOf: f.now, Kind: descriptor.KindRouting, Complete: true, Documents: []descriptor.Document{
+	f.step(id, descriptor.DocumentsRead{At: f.now, AsOf: f.now, Kind: descriptor.KindRouting, Complete: true, Documents: []descriptor.Document{
 		{Kind: descriptor.KindRouting, Name: "all", Revision: version, Routing: &routing},
 	}})
-	f.step(id, descriptor.Learned{At: f.now, AsOf: f.now, Kind: descriptor.KindBackends, Complete: true, Documents: []descriptor.Document{
+	f.step(id, descriptor.DocumentsRead{At: f.now, AsOf: f.now, Kind: descriptor.KindBackends, Complete: true, Documents: []descriptor.Document{
 		{Kind: descriptor.KindBackends, Name: "ledger", Revision: f.revision, Backends: []descriptor.Backend{{ID: "b", Address: "b:80", Slots: 3}}},
 	}})
 }
@@ -199,8 +199,8 @@
 		asserter.Equal(t, "instances that callers are sent to", len(want), 6)
 		for _, id := range f.order {
 			d := f.nodes[id].published
-			asserter.True(t, "settled", d.Settled)
-			asserter.Equal(t, "those in providence", len(d.CallersNear("providence")), 2)
+			asserter.True(t, "members known", d.MembersKnown)
+			asserter.Equal(t, "those in providence", len(d.CallersFor("providence")), 2)
 			for i, m := range d.Callers {
 				asserter.Equal(t, id, m.ID, want[i].ID)
 			}
@@ -210,6 +210,6 @@
 		f := newRoutedFleet(6)
 		f.add("entry-new", "worcester")
 		f.read("entry-new", f.version)
-		asserter.Equal(t, "settled", f.nodes["entry-new"].published.Settled, false)
+		asserter.Equal(t, "members known", f.nodes["entry-new"].published.MembersKnown, false)
 	})
 }
--- a/decider/tick.go
+++ b/decider/tick.go
@@ -43,7 +43,7 @@
 		d.lastTallyAt = d.now
 		d.reportTallies()
 	}
-	d.updateMembersSettled()
+	d.updateMembersKnown()
 	d.advanceShutdown()
 	d.publish()
 }
@@ -189,21 +189,21 @@
 	// memberQuietTime is the time without a new member from which the list counts
 	// as complete.
 	memberQuietTime = 400 * time.Millisecond
-	// memberSettleLimit is the time after which it counts as complete in any
+	// membersKnownLimit is the time after which it counts as complete in any
 	// case.
-	memberSettleLimit = 3 * time.Second
+	membersKnownLimit = 3 * time.Second
 )
 
-// updateMembersSettled sets membersSettled once the list of members is taken to
+// updateMembersKnown sets membersSettled once the list of members is taken to
 // be complete.
-func (d *Decider[E, D, P, L]) updateMembersSettled() {
-	if !d.synced || d.membersSettled {
+func (d *Decider[E, D, P, L]) updateMembersKnown() {
+	if !d.synced || d.membersKnown {
 		return
 	}
 	since := d.now.Sub(d.syncedAt)
 	quiet := since >= memberQuietTime && d.now.Sub(d.lastMemberAt) >= memberQuietTime
-	if quiet || since >= memberSettleLimit {
-		d.membersSettled = true
+	if quiet || since >= membersKnownLimit {
+		d.membersKnown = true
 		d.timeDirty = true
 	}
 }
--- a/descriptor/actions.go
+++ b/descriptor/actions.go
@@ -102,24 +102,24 @@
 	Detail  string
 }
 
-// Leave reports that the shutdown is complete or its grace period is over, so that
-// the process may exit.
-type Leave struct{}
-
-func (Dispatch) action()     {}
-func (Deliver) action()      {}
-func (Cancel) action()       {}
-func (Refuse) action()       {}
-func (Probe) action()        {}
-func (Send) action()         {}
-func (Connect) action()      {}
-func (Publish) action()      {}
-func (Write) action()        {}
-func (WriteTallies) action() {}
-func (WriteClaim) action()   {}
-func (Watch) action()        {}
-func (Note) action()         {}
-func (Leave) action()        {}
+// ShutdownComplete reports that the shutdown is complete or its grace period is over,
+// so that the process may exit.
+type ShutdownComplete struct{}
+
+func (Dispatch) action()         {}
+func (Deliver) action()          {}
+func (Cancel) action()           {}
+func (Refuse) action()           {}
+func (Probe) action()            {}
+func (Send) action()             {}
+func (Connect) action()          {}
+func (Publish) action()          {}
+func (Write) action()            {}
+func (WriteTallies) action()     {}
+func (WriteClaim) action()       {}
+func (Watch) action()            {}
+func (Note) action()             {}
+func (ShutdownComplete) action() {}
 
 // ForRequest implements RequestAction.
 func (a Dispatch) ForRequest() RequestID { return a.Request }
--- a/descriptor/directory.go
+++ b/descriptor/directory.go
@@ -10,7 +10,7 @@
 // read for each request.
 type Directory struct {
 	// Services holds each declared service by name.
-	Services map[string]*Entry
+	Services map[string]*ServiceEntry
 	// Ready reports whether the configuration has been loaded.
 	Ready bool
 	// Leaving reports whether the instance is shutting down.
@@ -18,9 +18,9 @@
 	// Routes finds services by host and path. It is nil unless the services are
 	// declared by a routing.
 	Routes *declarer.Map `json:",omitempty"`
-	// Settled reports whether the instance has been a member long enough to know
+	// MembersKnown reports whether the instance has been a member long enough to know
 	// nearly all others, so that it can assign instances to callers.
-	Settled bool `json:",omitempty"`
+	MembersKnown bool `json:",omitempty"`
 	// Callers lists the instances assigned to callers under a routing.
 	Callers []Member `json:",omitempty"`
 	// Current is the latest time at which the platform's store is known to have
@@ -32,10 +32,10 @@
 // before its callers are assigned to these instances only.
 const minLocalInstances = 2
 
-// CallersNear returns the instances for the callers of a failure domain: those in
+// CallersFor returns the instances for the callers of a failure domain: those in
 // the same failure domain, or all instances if it has fewer than
 // minLocalInstances.
-func (d *Directory) CallersNear(domain string) []Member {
+func (d *Directory) CallersFor(domain string) []Member {
 	var local []Member
 	for _, m := range d.Callers {
 		if m.Domain == domain {
@@ -48,13 +48,13 @@
 	return local
 }
 
-// Entry is the part of the directory that describes one service.
-type Entry struct {
+// ServiceEntry is the part of the directory that describes one service.
+type ServiceEntry struct {
 	Service  declarer.Service
 	Revision uint64
 	// Serving lists the instances that serve the service. Those in the local
 	// failure domain come first.
 	Serving []Member
-	// Here reports whether this instance serves the service.
-	Here bool
+	// Local reports whether this instance serves the service.
+	Local bool
 }
--- a/descriptor/enums.go
+++ b/descriptor/enums.go
@@ -108,16 +108,16 @@
 	FaultShed
 	// FaultBroken means that the connection broke before the response began.
 	FaultBroken
-	// FaultCut means that the response was truncated.
-	FaultCut
-	// FaultSource means that the body of the caller's request could not be read
+	// FaultTruncated means that the response was truncated.
+	FaultTruncated
+	// FaultRequestBody means that the body of the caller's request could not be read
 	// completely.
-	FaultSource
+	FaultRequestBody
 	// FaultStatus means that the response had a 5xx status.
 	FaultStatus
-	// FaultForeign means that a different backend server answered at the address
+	// FaultWrongBackend means that a different backend server answered at the address
 	// and did not run the work.
-	FaultForeign
+	FaultWrongBackend
 )
 
 // String returns the name used in logs and dumps.
--- a/descriptor/events.go
+++ b/descriptor/events.go
@@ -65,9 +65,9 @@
 	Attempt AttemptID
 	Fault   Fault
 	Health  Health
-	// Untouched reports whether the body of the caller's request can be sent
+	// BodyReplayable reports whether the body of the caller's request can be sent
 	// again from its start.
-	Untouched bool
+	BodyReplayable bool
 	// Load is the load that the backend server reported, for FaultShed.
 	Load Load `json:",omitzero"`
 }
@@ -83,8 +83,8 @@
 	Alive bool
 }
 
-// Gone reports that the caller disconnected before the response was complete.
-type Gone struct {
+// CallerGone reports that the caller disconnected before the response was complete.
+type CallerGone struct {
 	At      time.Time
 	Request RequestID
 }
@@ -111,8 +111,8 @@
 	Peer string
 }
 
-// Learned reports documents read from the platform's store.
-type Learned struct {
+// DocumentsRead reports documents read from the platform's store.
+type DocumentsRead struct {
 	At        time.Time
 	Documents []Document
 	// Complete reports whether Documents holds all documents of Kind in the
@@ -141,8 +141,8 @@
 	Tallies []Tally
 }
 
-// Quit reports that a shutdown of the instance was requested.
-type Quit struct{ At time.Time }
+// ShutdownRequested reports that a shutdown of the instance was requested.
+type ShutdownRequested struct{ At time.Time }
 
 // WriteID identifies a write within one incarnation of an instance.
 type WriteID uint64
@@ -189,7 +189,7 @@
 func (e Failed) When() time.Time { return e.At }
 
 // When implements Event.
-func (e Gone) When() time.Time { return e.At }
+func (e CallerGone) When() time.Time { return e.At }
 
 // When implements Event.
 func (e Ticked) When() time.Time { return e.At }
@@ -204,10 +204,10 @@
 func (e LinkClosed) When() time.Time { return e.At }
 
 // When implements Event.
-func (e Learned) When() time.Time { return e.At }
+func (e DocumentsRead) When() time.Time { return e.At }
 
 // When implements Event.
 func (e Written) When() time.Time { return e.At }
 
 // When implements Event.
-func (e Quit) When() time.Time { return e.At }
+func (e ShutdownRequested) When() time.Time { return e.At }
--- a/descriptor/messages.go
+++ b/descriptor/messages.go
@@ -23,9 +23,9 @@
 	TypeClaim
 	TypeVerdict
 	TypeKeySettlement
-	TypeCrash
+	TypeCrashReport
 	TypeTally
-	TypeReceipt
+	TypeTallyReceipt
 	TypeRefresh
 	TypeSlotDemand
 	TypeSlotLease
@@ -173,8 +173,8 @@
 	Total int
 }
 
-// Crash reports that a backend server crashed after a request was sent to it.
-type Crash struct {
+// CrashReport reports that a backend server crashed after a request was sent to it.
+type CrashReport struct {
 	Service string
 	// Fingerprint identifies the request; see Arrived.
 	Fingerprint uint64
@@ -209,8 +209,8 @@
 // TallyReport carries a tally to the instance that writes it to the store.
 type TallyReport struct{ Tally Tally }
 
-// Receipt confirms that a tally was written to the platform's store.
-type Receipt struct {
+// TallyReceipt confirms that a tally was written to the platform's store.
+type TallyReceipt struct {
 	Service     string
 	Incarnation int64
 	Version     uint64
@@ -313,7 +313,7 @@
 func (SuspicionList) Type() MessageType { return TypeSuspicionList }
 
 // Type implements Message.
-func (Crash) Type() MessageType { return TypeCrash }
+func (CrashReport) Type() MessageType { return TypeCrashReport }
 
 // Type implements Message.
 func (SlotDemand) Type() MessageType { return TypeSlotDemand }
@@ -328,4 +328,4 @@
 func (TallyReport) Type() MessageType { return TypeTally }
 
 // Type implements Message.
-func (Receipt) Type() MessageType { return TypeReceipt }
+func (TallyReceipt) Type() MessageType { return TypeTallyReceipt }
--- a/estimator/slope.go
+++ b/estimator/slope.go
@@ -65,7 +65,7 @@
 		d.Step(descriptor.LinkOpened{At: epoch, Peer: records[0]})
 		d.Step(descriptor.Received{At: epoch, From: records[0].ID, Message: descriptor.Members{Records: records}})
 	}
-	d.Step(descriptor.Learned{At: epoch, Kind: descriptor.KindService, Complete: true, Documents: documentsOf(services)})
+	d.Step(descriptor.DocumentsRead{At: epoch, Kind: descriptor.KindService, Complete: true, Documents: documentsOf(services)})
 	for i := range settleTicks {
 		d.Step(descriptor.Ticked{At: epoch.Add(time.Duration(i+1) * 100 * time.Millisecond)})
 	}
@@ -174,7 +174,7 @@
 	revision := uint64(2)
 	p.Change = timeOf(func(i int) {
 		document := backendsOf(i%services, revision+uint64(i))
-		d.Step(descriptor.Learned{At: now, Documents: []descriptor.Document{document}})
+		d.Step(descriptor.DocumentsRead{At: now, Documents: []descriptor.Document{document}})
 	})
 	runtime.KeepAlive(d)
 	return p
--- a/experimenter/fake.go
+++ b/experimenter/fake.go
@@ -113,11 +113,11 @@
 	s.finish(f, v)
 	s.after(networkDelay, func() {
 		s.balancers[v.instance].Failed(descriptor.Failed{
-			At:        s.now,
-			Request:   v.request,
-			Attempt:   v.attempt,
-			Fault:     fault,
-			Untouched: true,
+			At:             s.now,
+			Request:        v.request,
+			Attempt:        v.attempt,
+			Fault:          fault,
+			BodyReplayable: true,
 		})
 		s.performActions(v.instance)
 	})
--- a/experimenter/surroundings.go
+++ b/experimenter/surroundings.go
@@ -14,7 +14,7 @@
 	switch m := a.Message.(type) {
 	case descriptor.Evidence:
 		b.HandleEvidence(s.now, s.members[from].ID, m)
-	case descriptor.Crash:
+	case descriptor.CrashReport:
 		b.HandleCrash(s.now, m)
 	case descriptor.Drain:
 		b.HandleDrain(s.now, m)
--- a/forwarder/answer.go
+++ b/forwarder/answer.go
@@ -70,7 +70,7 @@
 	if err != nil && !errors.Is(err, http.ErrNotSupported) {
 		s.callerLeft = true
 		s.callerDone = nil
-		s.forwarder.control.Post(descriptor.Gone{At: time.Now(), Request: s.id})
+		s.forwarder.control.Post(descriptor.CallerGone{At: time.Now(), Request: s.id})
 	}
 }
 
@@ -109,7 +109,7 @@
 }
 
 // currentEntry returns the newest directory entry of the service.
-func (s *session) currentEntry() *descriptor.Entry {
+func (s *session) currentEntry() *descriptor.ServiceEntry {
 	if entry, ok := s.forwarder.snapshot.Load().Services[s.service]; ok {
 		return entry
 	}
--- a/forwarder/attempt.go
+++ b/forwarder/attempt.go
@@ -71,7 +71,7 @@
 	case h.Mismatched:
 		return descriptor.FaultBroken, true
 	case h.Foreign:
-		return descriptor.FaultForeign, true
+		return descriptor.FaultWrongBackend, true
 	case h.NotRun:
 		return descriptor.FaultShed, true
 	}
@@ -187,7 +187,7 @@
 		return descriptor.FaultConnect
 	}
 	if t.session.body.sourceFailed() {
-		return descriptor.FaultSource
+		return descriptor.FaultRequestBody
 	}
 	return descriptor.FaultBroken
 }
@@ -195,13 +195,13 @@
 func (t *attempt) post(fault descriptor.Fault, head Head) {
 	s := t.session
 	s.forwarder.control.Post(descriptor.Failed{
-		At:        time.Now(),
-		Request:   s.id,
-		Attempt:   t.id,
-		Fault:     fault,
-		Health:    head.Health,
-		Load:      head.Load,
-		Untouched: s.body.replayable(),
+		At:             time.Now(),
+		Request:        s.id,
+		Attempt:        t.id,
+		Fault:          fault,
+		Health:         head.Health,
+		Load:           head.Load,
+		BodyReplayable: s.body.replayable(),
 	})
 }
 
--- a/forwarder/forwarder_test.go
+++ b/forwarder/forwarder_test.go
@@ -97,7 +97,7 @@
 	t.Cleanup(b.Close)
 	control := &singleBackend{address: strings.TrimPrefix(b.URL, "http://"), open: make(map[descriptor.RequestID]chan descriptor.RequestAction)}
 	f := New(o, NewStandardDialect(o), control, recorder.New())
-	f.SetDirectory(&descriptor.Directory{Ready: true, Services: map[string]*descriptor.Entry{"ledger": {
+	f.SetDirectory(&descriptor.Directory{Ready: true, Services: map[string]*descriptor.ServiceEntry{"ledger": {
 		Service: declarer.Service{
 			Name:    "ledger",
 			Classes: []declarer.Class{{Name: "all", Idempotent: true}},
--- a/forwarder/own.go
+++ b/forwarder/own.go
@@ -91,9 +91,9 @@
 }
 
 // addresses lists the serving instances, with those in the given failure domain first.
-// Within each of the two groups the hash of the caller chooses the first instance, which
-// distributes callers over the instances.
-func addresses(e *descriptor.Entry, domain, caller string) []Address {
+// Within each of the two groups the hash of the caller chooses the first instance,
+// which distributes callers over the instances.
+func addresses(e *descriptor.ServiceEntry, domain, caller string) []Address {
 	var sameDomain, otherDomains []Address
 	now := time.Now()
 	for _, m := range e.Serving {
--- a/forwarder/routed_test.go
+++ b/forwarder/routed_test.go
@@ -25,7 +25,7 @@
 // Post implements Control.
 func (c *retrying) Post(event descriptor.Event) {
 	e, ok := event.(descriptor.Failed)
-	if !ok || e.Fault != descriptor.FaultShed || !e.Untouched {
+	if !ok || e.Fault != descriptor.FaultShed || !e.BodyReplayable {
 		c.singleBackend.Post(event)
 		return
 	}
@@ -48,7 +48,7 @@
 	}
 	return &descriptor.Directory{
 		Ready: true, Routes: declarer.NewMap(r), Current: current,
-		Services: map[string]*descriptor.Entry{"ledger": {Service: declarer.Service{Name: "ledger"}}},
+		Services: map[string]*descriptor.ServiceEntry{"ledger": {Service: declarer.Service{Name: "ledger"}}},
 	}
 }
 
@@ -134,9 +134,9 @@
 	asserter.Equal(t, "connections, each used once", used, 3)
 }
 
-// TestNonIdempotentGetSentOnce breaks reused connections under non-idempotent work whose
-// method is GET, which net/http would resend. The work must reach the backend server
-// once.
+// TestNonIdempotentGetSentOnce breaks reused connections under non-idempotent work
+// whose method is GET, which net/http would resend. The work must reach the backend
+// server once.
 func TestNonIdempotentGetSentOnce(t *testing.T) {
 	var seen sync.Map
 	x := newFixture(t, func(_ http.ResponseWriter, r *http.Request) {
--- a/forwarder/session.go
+++ b/forwarder/session.go
@@ -20,7 +20,7 @@
 	r         *http.Request
 	id        descriptor.RequestID
 	started   time.Time
-	entry     *descriptor.Entry
+	entry     *descriptor.ServiceEntry
 	class     declarer.Class
 	service   string
 	body      *callerBody
@@ -70,9 +70,9 @@
 }
 
 // locateRoute finds the route of the request by host and path. An unknown route may be
-// new, so the request waits up to routeUpdateWait. It is refused as an unknown route only
-// once the directory reflects a state of the platform's store that is newer than the
-// request.
+// new, so the request waits up to routeUpdateWait. It is refused as an unknown route
+// only once the directory reflects a state of the platform's store that is newer than
+// the request.
 func (s *session) locateRoute(d *snapshot) (descriptor.Reason, bool) {
 	timer := time.NewTimer(routeUpdateWait)
 	defer timer.Stop()
@@ -147,7 +147,7 @@
 		case <-s.callerDone:
 			s.callerDone = nil
 			s.callerLeft = true
-			s.forwarder.control.Post(descriptor.Gone{At: time.Now(), Request: s.id})
+			s.forwarder.control.Post(descriptor.CallerGone{At: time.Now(), Request: s.id})
 		}
 	}
 }
@@ -271,11 +271,12 @@
 	return true
 }
 
-// abortCut ends a request whose answer was truncated. It aborts the connection or stream
-// to the caller, so that the truncated answer can't be taken for a complete one.
+// abortCut ends a request whose answer was truncated. It aborts the connection or
+// stream to the caller, so that the truncated answer can't be taken for a complete
+// one.
 func (s *session) abortCut(id descriptor.AttemptID, bytes uint64) bool {
 	now := time.Now()
-	s.forwarder.control.Post(descriptor.Failed{At: now, Request: s.id, Attempt: id, Fault: descriptor.FaultCut})
+	s.forwarder.control.Post(descriptor.Failed{At: now, Request: s.id, Attempt: id, Fault: descriptor.FaultTruncated})
 	s.forwarder.recorder.Fault()
 	s.forwarder.recorder.End(descriptor.AnswerCut, now.Sub(s.started), bytes)
 	panic(http.ErrAbortHandler)
--- a/server/server.go
+++ b/server/server.go
@@ -46,7 +46,7 @@
 	questions []*listener.Listener
 	inner     *listener.Listener
 	operators *listener.Listener
-	// exitAllowed is closed, and isExitAllowed set, by the action Leave.
+	// exitAllowed is closed, and isExitAllowed set, by the action ShutdownComplete.
 	exitAllowed   chan struct{}
 	isExitAllowed atomic.Bool
 }
@@ -219,7 +219,7 @@
 		s.log.Note(a)
 	case descriptor.RequestTrace:
 		s.log.LogRequest(time.Now(), a)
-	case descriptor.Leave:
+	case descriptor.ShutdownComplete:
 		if !s.isExitAllowed.Swap(true) {
 			close(s.exitAllowed)
 		}
@@ -263,7 +263,7 @@
 // Shutdown finishes every request in flight, hands over state to other instances and
 // stops the instance. It takes as long as the longest request.
 func (s *Server) Shutdown() {
-	s.controller.Post(descriptor.Quit{At: time.Now()})
+	s.controller.Post(descriptor.ShutdownRequested{At: time.Now()})
 	<-s.exitAllowed
 	ctx, cancel := context.WithTimeout(context.Background(), closeTime)
 	defer cancel()
--- a/storer/follower.go
+++ b/storer/follower.go
@@ -52,8 +52,8 @@
 	// DecodeDocument returns the document of an item, and false if the item holds none.
 	// It is nil for a feed of entries.
 	DecodeDocument func(Item) (descriptor.Document, bool, error)
-	// DecodeEntry returns the entry of a backend server in an item. It is nil for a feed
-	// of documents.
+	// DecodeEntry returns the entry of a backend server in an item. It is nil for a
+	// feed of documents.
 	DecodeEntry func(key string, value []byte) (Entry, error)
 }
 
@@ -98,8 +98,8 @@
 	}
 }
 
-// runSteps calls step until ctx ends, with growing random delays after errors. It reports
-// changes of reachability.
+// runSteps calls step until ctx ends, with growing random delays after errors. It
+// reports changes of reachability.
 func (f *Follower) runSteps(ctx context.Context, source string, step func(context.Context) error) {
 	wait := firstRetryDelay
 	failing := false
@@ -186,7 +186,7 @@
 
 // post posts the documents of an answer.
 func (c *feedReader) post(page Page, listed bool, asOf, now time.Time) {
-	e := descriptor.Learned{At: now, Kind: c.feed.Kind, Complete: listed, AsOf: asOf, Revision: page.Revision}
+	e := descriptor.DocumentsRead{At: now, Kind: c.feed.Kind, Complete: listed, AsOf: asOf, Revision: page.Revision}
 	if c.feed.DecodeEntry != nil {
 		e.Documents = c.entries(page, listed)
 	} else {
@@ -211,8 +211,8 @@
 	return result
 }
 
-// entries applies the entries of an answer and returns the lists of backend servers that
-// changed. A backend server whose entry can't be decoded is removed.
+// entries applies the entries of an answer and returns the lists of backend servers
+// that changed. A backend server whose entry can't be decoded is removed.
 func (c *feedReader) entries(page Page, listed bool) []descriptor.Document {
 	var present []string
 	for _, item := range page.Items {
@@ -245,7 +245,7 @@
 			return err
 		}
 		after = max(after, listing.Version)
-		e := descriptor.Learned{At: time.Now(), Kind: descriptor.KindBackends}
+		e := descriptor.DocumentsRead{At: time.Now(), Kind: descriptor.KindBackends}
 		for _, l := range listing.Services {
 			if l.Version > known[l.Name] {
 				known[l.Name] = l.Version
--- a/storer/storer_test.go
+++ b/storer/storer_test.go
@@ -91,16 +91,16 @@
 
 // BadDocument implements storer.Reporter.
 func (s sink) BadDocument(key string, _ error) {
-	s.events <- descriptor.Learned{Documents: []descriptor.Document{{Name: "bad " + key}}}
+	s.events <- descriptor.DocumentsRead{Documents: []descriptor.Document{{Name: "bad " + key}}}
 }
 
-// next returns the first document of the next Learned event with documents.
+// next returns the first document of the next DocumentsRead event with documents.
 func (s sink) next(t *testing.T) descriptor.Document {
 	t.Helper()
 	for {
 		select {
 		case e := <-s.events:
-			if l, ok := e.(descriptor.Learned); ok && len(l.Documents) > 0 {
+			if l, ok := e.(descriptor.DocumentsRead); ok && len(l.Documents) > 0 {
 				return l.Documents[0]
 			}
 		case <-time.After(20 * time.Second):
