--- a/balancer/arrive.go
+++ b/balancer/arrive.go
@@ -194,7 +194,7 @@
 	id, s := b.backends.At(position)
 	long := b.classes[r.class].declared.Long
 	r = r.WithAttempt(id, b.now)
-	b.trace(r, descriptor.NotePlaced, r.last, id, "", 0)
+	b.trace(r, descriptor.NoteDispatched, r.last, id, "", 0)
 	b.requests.Put(r.id, r)
 	b.classes[r.class] = b.classes[r.class].WithInFlight(1)
 	s.lastSentAt = b.now
--- a/balancer/eject.go
+++ b/balancer/eject.go
@@ -199,7 +199,7 @@
 	}
 	var noEvidence E
 	b.backends.SetAt(v.position, s.WithReturn(b.now, noEvidence))
-	b.note(descriptor.NoteReturned, id, "trial passed")
+	b.note(descriptor.NoteReinstated, id, "trial passed")
 }
 
 // ejectable returns the assessments of the backend servers to eject, worst first. A
--- a/decider/tick.go
+++ b/decider/tick.go
@@ -194,7 +194,7 @@
 	membersKnownLimit = 3 * time.Second
 )
 
-// updateMembersKnown sets membersSettled once the list of members is taken to
+// updateMembersKnown sets membersKnown once the list of members is taken to
 // be complete.
 func (d *Decider[E, D, P, L]) updateMembersKnown() {
 	if !d.synced || d.membersKnown {
--- a/logger/logger_test.go
+++ b/logger/logger_test.go
@@ -57,7 +57,7 @@
 // newRequestTrace returns the trace of a request that ended with reason.
 func newRequestTrace(reason descriptor.Reason) descriptor.RequestTrace {
 	return descriptor.RequestTrace{Label: "id", Reason: reason, Target: time.Second, Entries: []descriptor.TraceEntry{
-		{Number: descriptor.NoteAdmitted}, {Number: descriptor.NotePlaced, Backend: "b", Attempt: 1},
+		{Number: descriptor.NoteAdmitted}, {Number: descriptor.NoteDispatched, Backend: "b", Attempt: 1},
 	}}
 }
 
--- a/server/server.go
+++ b/server/server.go
@@ -132,7 +132,7 @@
 		Key:   s.settings.Inner.Key,
 		Seeds: s.settings.Inner.Seeds,
 		Reject: func(peer string, err error) {
-			s.log.Event(descriptor.NoteLinkBad, "", peer, err.Error())
+			s.log.Event(descriptor.NoteLinkRefused, "", peer, err.Error())
 		},
 	}, control)
 	s.follower = storer.NewFollower(client, feeds, s.pace(), control, platformReporter{s.log})
@@ -297,13 +297,13 @@
 // ReachabilityChanged implements storer.Reporter.
 func (p platformReporter) ReachabilityChanged(source string, ok bool, err error) {
 	if ok {
-		p.log.Event(descriptor.NoteStoreBack, "", source, "")
+		p.log.Event(descriptor.NoteStoreReachable, "", source, "")
 		return
 	}
-	p.log.Event(descriptor.NoteStoreAway, "", source, err.Error())
+	p.log.Event(descriptor.NoteStoreUnreachable, "", source, err.Error())
 }
 
 // BadDocument implements storer.Reporter.
 func (p platformReporter) BadDocument(key string, err error) {
-	p.log.Event(descriptor.NoteBadDocument, "", key, err.Error())
+	p.log.Event(descriptor.NoteDocumentInvalid, "", key, err.Error())
 }
