--- a/counter/counter.go
+++ b/counter/counter.go
@@ -169,10 +169,10 @@
 	return a.Outcome < b.Outcome
 }
 
-// Due returns the tallies to report now and marks them as sent: changed ones after
-// reportInterval, and unconfirmed ones again after resendInterval.
-func (c *Counter) Due(now time.Time) []descriptor.Tally {
-	var due []descriptor.Tally
+// NextReports returns the tallies to report now and marks them as sent: changed ones
+// after reportInterval, and unconfirmed ones again after resendInterval.
+func (c *Counter) NextReports(now time.Time) []descriptor.Tally {
+	var reports []descriptor.Tally
 	for service, s := range c.services.All {
 		if s.version == s.confirmed {
 			continue
@@ -190,9 +190,9 @@
 		}
 		s.sent = s.version
 		s.sentAt = now
-		due = append(due, c.tally(service, s, now))
+		reports = append(reports, c.tally(service, s, now))
 	}
-	return due
+	return reports
 }
 
 // Confirm handles the receipt for a version that was written to the store.
--- a/counter/counter_test.go
+++ b/counter/counter_test.go
@@ -42,7 +42,7 @@
 // write applies the scheduled writes to the store and returns the receipts.
 func (x *storeSimulation) write(now time.Time) []AddressedReceipt {
 	var receipts []AddressedReceipt
-	for _, a := range x.writer.Due(now, 3) {
+	for _, a := range x.writer.NextWrites(now, 3) {
 		w := a.(descriptor.WriteTallies)
 		e := descriptor.Written{At: now, Write: w.Write, Result: descriptor.WriteConflict, Revision: x.revision, Tallies: x.stored}
 		if w.Expect == x.revision {
@@ -72,7 +72,7 @@
 		x.writer.Merge(tally)
 		asserter.Equal(t, "receipts", len(x.write(start)), 1)
 		x.writer.Merge(tally)
-		asserter.Equal(t, "writes", len(x.writer.Due(start.Add(time.Hour), 3)), 0)
+		asserter.Equal(t, "writes", len(x.writer.NextWrites(start.Add(time.Hour), 3)), 0)
 	})
 	t.Run("a new writer keeps the stored tallies", func(t *testing.T) {
 		x := newStoreSimulation(t)
@@ -88,7 +88,7 @@
 		now := start
 		writes := 0
 		for now.Before(start.Add(10 * time.Minute)) {
-			for _, a := range x.writer.Due(now, 2700) {
+			for _, a := range x.writer.NextWrites(now, 2700) {
 				writes++
 				x.writer.Written(descriptor.Written{At: now, Write: a.(descriptor.WriteTallies).Write, Result: descriptor.WriteUnavailable})
 			}
--- a/counter/writer.go
+++ b/counter/writer.go
@@ -125,9 +125,9 @@
 	return t.Folded
 }
 
-// Due returns the writes to make now. services is the number of services in the
+// NextWrites returns the writes to make now. services is the number of services in the
 // fleet, which determines the interval.
-func (w *Writer) Due(now time.Time, services int) []descriptor.Action {
+func (w *Writer) NextWrites(now time.Time, services int) []descriptor.Action {
 	every := WriteInterval(services)
 	var actions []descriptor.Action
 	for service, s := range w.byService.All {
--- a/decider/receive.go
+++ b/decider/receive.go
@@ -10,14 +10,14 @@
 
 // handleMessage handles a message from another instance.
 func (d *Decider[E, D, P, L]) handleMessage(e descriptor.Received) {
-	d.gossiper.Heard(e.At, e.From)
+	d.gossiper.RecordReceived(e.At, e.From)
 	from, ok := d.gossiper.Member(e.From)
 	if !ok {
 		return
 	}
 	switch m := e.Message.(type) {
 	case descriptor.Members:
-		d.gossiper.HearMembers(e.At, e.From, m)
+		d.gossiper.HandleMembers(e.At, e.From, m)
 	case descriptor.Digest:
 		d.handleDigest(from, m)
 	case descriptor.References:
@@ -55,7 +55,7 @@
 // differences. An instance that is not ready gets its answer at once, followed by
 // a digest from which it learns that nothing is missing.
 func (d *Decider[E, D, P, L]) handleDigest(from descriptor.Member, m descriptor.Digest) {
-	d.gossiper.HearDigest(from.ID, m.Members)
+	d.gossiper.HandleDigest(from.ID, m.Members)
 	for _, part := range d.spreader.HandleDigest(from.ID, m.Documents, !from.Ready || m.Urgent) {
 		d.send(from, part)
 	}
@@ -158,7 +158,7 @@
 			// Retry now: waiting for the next tick would lose against another
 			// writer again, because a fleet that leaves all at once has as many
 			// writers as instances.
-			d.emitAll(d.writer.Due(d.now, d.declared.Len()))
+			d.emitAll(d.writer.NextWrites(d.now, d.declared.Len()))
 		}
 		return
 	}
--- a/decider/tick.go
+++ b/decider/tick.go
@@ -157,7 +157,7 @@
 		return
 	}
 	every := counter.WriteInterval(d.declared.Len())
-	for _, t := range d.counter.Due(d.now) {
+	for _, t := range d.counter.NextReports(d.now) {
 		t.Every = every
 		writer, ok := d.tallyWriter(t.Service)
 		if !ok {
@@ -169,7 +169,7 @@
 		}
 		d.send(writer, descriptor.TallyReport{Tally: t})
 	}
-	d.emitAll(d.writer.Due(d.now, d.declared.Len()))
+	d.emitAll(d.writer.NextWrites(d.now, d.declared.Len()))
 }
 
 // tallyWriter returns the instance that writes the tallies of a service. The last
--- a/gossiper/gossiper.go
+++ b/gossiper/gossiper.go
@@ -248,19 +248,19 @@
 	g.watchedAt.Put(e.Peer, e.At)
 }
 
-// Heard records that a message from an instance was received. It also restores a
-// missing link entry, because the close of an older link may be reported after a
-// newer link was opened.
-func (g *Gossiper) Heard(now time.Time, from string) {
+// RecordReceived records that a message from an instance was received. It also
+// restores a missing link entry, because the close of an older link may be reported
+// after a newer link was opened.
+func (g *Gossiper) RecordReceived(now time.Time, from string) {
 	if l, ok := g.links.Get(from); ok || g.members.Has(from) {
 		g.links.Put(from, l.WithReceived(now))
 	}
 }
 
-// HearMembers merges received records. If the message is complete for some
+// HandleMembers merges received records. If the message is complete for some
 // buckets, the answer carries the records of these buckets that the sender lacks
 // or holds in older versions.
-func (g *Gossiper) HearMembers(now time.Time, from string, m descriptor.Members) {
+func (g *Gossiper) HandleMembers(now time.Time, from string, m descriptor.Members) {
 	g.source = from
 	defer func() { g.source = "" }()
 	seen := make(map[string]descriptor.Member, len(m.Records))
@@ -280,10 +280,10 @@
 	g.sendRecords(from, missing)
 }
 
-// HearDigest answers a digest with the records of the buckets that differ. A
+// HandleDigest answers a digest with the records of the buckets that differ. A
 // change that is still spreading makes digests differ for a moment, so a bucket
 // counts only if it differed in the last two digests or the difference is large.
-func (g *Gossiper) HearDigest(from string, digest container.Sums) {
+func (g *Gossiper) HandleDigest(from string, digest container.Sums) {
 	l, ok := g.links.Get(from)
 	if !ok {
 		return
--- a/gossiper/gossiper_test.go
+++ b/gossiper/gossiper_test.go
@@ -114,12 +114,12 @@
 	if to == nil || !linked || x.cut[[2]string{from, a.To.ID}] {
 		return
 	}
-	to.Heard(x.now, from)
+	to.RecordReceived(x.now, from)
 	switch m := a.Message.(type) {
 	case descriptor.Members:
-		to.HearMembers(x.now, from, x.visible(a.To.ID, m))
+		to.HandleMembers(x.now, from, x.visible(a.To.ID, m))
 	case descriptor.Digest:
-		to.HearDigest(from, m.Members)
+		to.HandleDigest(from, m.Members)
 	}
 }
 
