--- a/balancer/dump.go
+++ b/balancer/dump.go
@@ -13,7 +13,7 @@
 		Revision:  b.revision,
 		State:     b.service.State.String(),
 		Live:      b.backends.Len(),
-		Floor:     b.service.Keep(b.backends.Len()),
+		Floor:     b.service.MinRemaining(b.backends.Len()),
 		Ejections: b.ejections.Ejections,
 		Refused:   b.refusal,
 		Budget:    b.budget.Left,
--- a/balancer/eject.go
+++ b/balancer/eject.go
@@ -283,7 +283,7 @@
 			down++
 		}
 	}
-	return live - down - b.service.Keep(live)
+	return live - down - b.service.MinRemaining(live)
 }
 
 // keptEjections returns the entries of the set that still matter for the number of
--- a/decider/decider.go
+++ b/decider/decider.go
@@ -89,7 +89,7 @@
 	index     *allocator.Index
 	relayer   *relayer.Relayer
 	// routes is nil unless a routing is in force.
-	routes *declarer.Map
+	routes *declarer.RouteIndex
 	// fullyRead holds the kinds of which all documents were read from the store.
 	fullyRead *container.Table[descriptor.Kind, bool]
 	// published is the directory that the traffic goroutines read.
--- a/decider/documents.go
+++ b/decider/documents.go
@@ -122,7 +122,7 @@
 		})
 		d.updateServing(services[i].Name)
 	}
-	d.routes = declarer.NewMap(*document.Routing)
+	d.routes = declarer.NewRouteIndex(*document.Routing)
 	d.publishNow()
 }
 
--- a/declarer/routing.go
+++ b/declarer/routing.go
@@ -28,8 +28,8 @@
 	Parts []Part
 }
 
-// Intake holds the limits on requests of callers.
-type Intake struct {
+// RequestLimits holds the limits on requests of callers.
+type RequestLimits struct {
 	// HeadBytes and BodyBytes are the maximum lengths of the header and the body
 	// of a request in bytes; 0 means the limits of the settings.
 	HeadBytes, BodyBytes int64
@@ -57,7 +57,7 @@
 	Version  uint64
 	Routes   []HostRoute
 	Services []Upstream
-	Limits   Intake
+	Limits   RequestLimits
 }
 
 // Derive returns the declarations of the services. A routing declares no floors, so
@@ -86,17 +86,17 @@
 	return result
 }
 
-// Map is an immutable index of the routes of a routing by host and path.
-type Map struct {
+// RouteIndex is an immutable index of the routes of a routing by host and path.
+type RouteIndex struct {
 	routing Routing
 	// hosts holds, for each host, the positions of its routes by path.
 	hosts map[string]map[string]int
 }
 
-// NewMap returns the index of a routing. Of several routes with the same host and
-// path the first one is used.
-func NewMap(r Routing) *Map {
-	m := &Map{routing: r, hosts: make(map[string]map[string]int)}
+// NewRouteIndex returns the index of a routing. Of several routes with the same host
+// and path the first one is used.
+func NewRouteIndex(r Routing) *RouteIndex {
+	m := &RouteIndex{routing: r, hosts: make(map[string]map[string]int)}
 	for i, route := range r.Routes {
 		paths, ok := m.hosts[route.Host]
 		if !ok {
@@ -111,11 +111,11 @@
 }
 
 // Routing returns the indexed routing.
-func (m *Map) Routing() Routing { return m.routing }
+func (m *RouteIndex) Routing() Routing { return m.routing }
 
 // Match returns the route of the host whose path is the longest prefix of the path
 // of a request. A port in host is ignored.
-func (m *Map) Match(host, path string) (HostRoute, bool) {
+func (m *RouteIndex) Match(host, path string) (HostRoute, bool) {
 	name, _, _ := strings.Cut(host, ":")
 	paths, ok := m.hosts[strings.ToLower(name)]
 	if !ok {
@@ -129,9 +129,9 @@
 	return HostRoute{}, false
 }
 
-// Choose returns the name of the service that gets the n-th request of the route.
-// The services reach their shares within a few requests.
-func (r HostRoute) Choose(n uint64) string {
+// ChooseService returns the name of the service that gets the n-th request of the
+// route. The services reach their shares within a few requests.
+func (r HostRoute) ChooseService(n uint64) string {
 	if len(r.Parts) == 1 {
 		return r.Parts[0].Service
 	}
--- a/declarer/service.go
+++ b/declarer/service.go
@@ -99,8 +99,8 @@
 	return s
 }
 
-// Keep returns how many of n live backend servers ejection must leave.
-func (s Service) Keep(n int) int {
+// MinRemaining returns how many of n live backend servers ejection must leave.
+func (s Service) MinRemaining(n int) int {
 	// The small subtrahend absorbs rounding errors of the product.
 	share := int(math.Ceil(s.Share*float64(n) - 1e-9))
 	return min(n, max(s.Floor, share))
--- a/descriptor/directory.go
+++ b/descriptor/directory.go
@@ -17,7 +17,7 @@
 	Leaving bool
 	// Routes finds services by host and path. It is nil unless the services are
 	// declared by a routing.
-	Routes *declarer.Map `json:",omitempty"`
+	Routes *declarer.RouteIndex `json:",omitempty"`
 	// MembersKnown reports whether the instance has been a member long enough to know
 	// nearly all others, so that it can assign instances to callers.
 	MembersKnown bool `json:",omitempty"`
--- a/forwarder/session.go
+++ b/forwarder/session.go
@@ -78,7 +78,7 @@
 	defer timer.Stop()
 	for {
 		if route, ok := d.Routes.Match(s.r.Host, s.r.URL.EscapedPath()); ok {
-			s.service = route.Choose(s.forwarder.countRoute(route.Class.Name))
+			s.service = route.ChooseService(s.forwarder.countRoute(route.Class.Name))
 			s.class = route.Class
 			s.entry = d.Services[s.service]
 			if t := s.started.Add(route.Class.Timeout); route.Class.Timeout > 0 && (s.deadline.IsZero() || t.Before(s.deadline)) {
--- a/loader/monitor.go
+++ b/loader/monitor.go
@@ -120,7 +120,7 @@
 func (m *monitor) check(now time.Time) {
 	active := 0
 	for _, s := range m.deployment.services {
-		active += m.checkEjections(s.Name, s.Keep(m.deployment.sizes[s.Name]), now)
+		active += m.checkEjections(s.Name, s.MinRemaining(m.deployment.sizes[s.Name]), now)
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
