--- a/balancer/arrive.go
+++ b/balancer/arrive.go
@@ -358,7 +358,7 @@
 	if b.start(r) {
 		return true
 	}
-	b.queues[c].Return(r.caller, id, newestFirst)
+	b.queues[c].PutBack(r.caller, id, newestFirst)
 	return false
 }
 
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -92,7 +92,7 @@
 	// queues are indexed like classes.
 	classes    []class
 	references []detector.Reference
-	queues     []*container.Fair[string, descriptor.RequestID]
+	queues     []*container.FairQueue[string, descriptor.RequestID]
 	queued     int
 	// pooled is the service-time distribution over all short classes. It replaces the
 	// distribution of a class with few observations.
@@ -217,7 +217,7 @@
 			c = len(b.classes)
 			b.classes = append(b.classes, class{})
 			b.references = append(b.references, detector.Reference{})
-			b.queues = append(b.queues, container.NewFair[string, descriptor.RequestID]())
+			b.queues = append(b.queues, container.NewFairQueue[string, descriptor.RequestID]())
 		}
 		b.classes[c] = b.classes[c].WithDeclared(declared)
 	}
--- a/container/container_test.go
+++ b/container/container_test.go
@@ -26,12 +26,12 @@
 }
 
 func TestFair(t *testing.T) {
-	pop := func(f *Fair[string, int], newest bool) int {
+	pop := func(f *FairQueue[string, int], newest bool) int {
 		v, _ := f.Pop(newest)
 		return v
 	}
 	t.Run("owners are served round-robin", func(t *testing.T) {
-		f := NewFair[string, int]()
+		f := NewFairQueue[string, int]()
 		for i := range 3 {
 			f.Push("a", i)
 		}
@@ -40,21 +40,21 @@
 		asserter.Equal(t, "length", f.Len(), 0)
 	})
 	t.Run("newest first within an owner", func(t *testing.T) {
-		f := NewFair[string, int]()
+		f := NewFairQueue[string, int]()
 		f.Push("a", 1)
 		f.Push("a", 2)
 		asserter.Equal(t, "newest", pop(f, true), 2)
 	})
 	t.Run("a returned entry is popped next again", func(t *testing.T) {
-		f := NewFair[string, int]()
+		f := NewFairQueue[string, int]()
 		f.Push("a", 1)
 		f.Push("b", 2)
-		f.Return("a", pop(f, false), false)
+		f.PutBack("a", pop(f, false), false)
 		asserter.Equal(t, "next", pop(f, false), 1)
 		asserter.Equal(t, "then", pop(f, false), 2)
 	})
 	t.Run("filter", func(t *testing.T) {
-		f := NewFair[string, int]()
+		f := NewFairQueue[string, int]()
 		for i := range 6 {
 			f.Push(fmt.Sprint(i%2), i)
 		}
@@ -81,8 +81,8 @@
 	asserter.Equal(t, "newest", ok, true)
 }
 
-func TestSums(t *testing.T) {
-	var a, b Sums
+func TestBucketSums(t *testing.T) {
+	var a, b BucketSums
 	for i := range uint64(100) {
 		a = a.With(i<<57, i)
 		b = b.With((99-i)<<57, 99-i)
@@ -90,8 +90,8 @@
 	asserter.Equal(t, "order does not matter", a.Differ(b), uint64(0))
 	b = b.Without(7<<57, 7).With(7<<57, 8)
 	asserter.Equal(t, "buckets that differ", BucketCount(a.Differ(b)), 1)
-	asserter.Equal(t, "far", a.Far(b), false)
-	asserter.Equal(t, "far from the empty set", a.Far(Sums{}), true)
+	asserter.Equal(t, "differs widely", a.DiffersWidely(b), false)
+	asserter.Equal(t, "differs widely from the empty set", a.DiffersWidely(BucketSums{}), true)
 }
 
 func TestRingAndHeap(t *testing.T) {
--- a/container/fair.go
+++ b/container/fair.go
@@ -1,8 +1,8 @@
 package container
 
-// Fair is a fair queue. It serves the owners of entries round-robin, so an owner
+// FairQueue serves the owners of entries round-robin, so an owner
 // with many entries delays the others by at most one entry per round.
-type Fair[K comparable, V any] struct {
+type FairQueue[K comparable, V any] struct {
 	// queues holds a non-empty queue for each owner in order.
 	queues map[K][]V
 	// order lists the owners that have entries; order[0] is served next.
@@ -11,16 +11,16 @@
 	size int
 }
 
-// NewFair returns an empty queue.
-func NewFair[K comparable, V any]() *Fair[K, V] {
-	return &Fair[K, V]{queues: make(map[K][]V)}
+// NewFairQueue returns an empty queue.
+func NewFairQueue[K comparable, V any]() *FairQueue[K, V] {
+	return &FairQueue[K, V]{queues: make(map[K][]V)}
 }
 
 // Len returns the number of entries.
-func (f *Fair[K, V]) Len() int { return f.size }
+func (f *FairQueue[K, V]) Len() int { return f.size }
 
 // Push appends v to the entries of its owner.
-func (f *Fair[K, V]) Push(owner K, v V) {
+func (f *FairQueue[K, V]) Push(owner K, v V) {
 	q, ok := f.queues[owner]
 	if !ok {
 		f.order = append(f.order, owner)
@@ -31,7 +31,7 @@
 
 // Pop removes and returns the next entry: the newest of the next owner if newest is
 // set, otherwise its oldest. It returns false if the queue is empty.
-func (f *Fair[K, V]) Pop(newest bool) (V, bool) {
+func (f *FairQueue[K, V]) Pop(newest bool) (V, bool) {
 	if f.size == 0 {
 		var zero V
 		return zero, false
@@ -57,7 +57,7 @@
 
 // Front returns the oldest entry of the next owner without removing it. It returns
 // false if the queue is empty.
-func (f *Fair[K, V]) Front() (V, bool) {
+func (f *FairQueue[K, V]) Front() (V, bool) {
 	if f.size == 0 {
 		var zero V
 		return zero, false
@@ -65,9 +65,9 @@
 	return f.queues[f.order[0]][0], true
 }
 
-// Return undoes a Pop: it puts the entry back at the same end of its owner's queue
+// PutBack undoes a Pop: it puts the entry back at the same end of its owner's queue
 // and makes that owner the next one. newest must be the argument of the Pop.
-func (f *Fair[K, V]) Return(owner K, v V, newest bool) {
+func (f *FairQueue[K, V]) PutBack(owner K, v V, newest bool) {
 	q, ok := f.queues[owner]
 	if ok {
 		f.order = without(f.order, owner)
@@ -94,7 +94,7 @@
 }
 
 // Filter removes the entries for which drop returns true.
-func (f *Fair[K, V]) Filter(drop func(V) bool) {
+func (f *FairQueue[K, V]) Filter(drop func(V) bool) {
 	order := f.order[:0]
 	f.size = 0
 	for _, owner := range f.order {
--- a/container/sums.go
+++ b/container/sums.go
@@ -2,13 +2,13 @@
 
 import "math/bits"
 
-// Buckets is the number of buckets in Sums.
+// Buckets is the number of buckets in BucketSums.
 const Buckets = 64
 
-// Sums is a digest of a set of named records. The hash of each record is added to
+// BucketSums is a digest of a set of named records. The hash of each record is added to
 // one of a fixed number of buckets, so that comparing two digests shows in which
 // buckets the sets differ.
-type Sums struct {
+type BucketSums struct {
 	// Buckets holds the sum of the hashes in each bucket, modulo 2^64.
 	Buckets [Buckets]uint64
 	// Count is the number of hashes added.
@@ -19,14 +19,14 @@
 func Bucket(nameHash uint64) int { return int(nameHash >> 58) }
 
 // With returns s with a record's hash added to the bucket of its name.
-func (s Sums) With(nameHash, hash uint64) Sums {
+func (s BucketSums) With(nameHash, hash uint64) BucketSums {
 	s.Buckets[Bucket(nameHash)] += hash
 	s.Count++
 	return s
 }
 
 // Without returns s with a record's hash subtracted from the bucket of its name.
-func (s Sums) Without(nameHash, hash uint64) Sums {
+func (s BucketSums) Without(nameHash, hash uint64) BucketSums {
 	s.Buckets[Bucket(nameHash)] -= hash
 	s.Count--
 	return s
@@ -34,7 +34,7 @@
 
 // Differ returns the set of buckets in which s and o differ, as one bit for each
 // bucket.
-func (s Sums) Differ(o Sums) uint64 {
+func (s BucketSums) Differ(o BucketSums) uint64 {
 	var set uint64
 	for i := range s.Buckets {
 		if s.Buckets[i] != o.Buckets[i] {
@@ -44,32 +44,32 @@
 	return set
 }
 
-// Fold returns a 64-bit hash of s. Different sums may have the same hash, but
+// Hash returns a 64-bit hash of s. Different sums may have the same hash, but
 // rarely do.
-func (s Sums) Fold() uint64 {
+func (s BucketSums) Hash() uint64 {
 	sum := uint64(s.Count)
 	for _, b := range s.Buckets {
-		sum = bits.RotateLeft64(sum, 5)*foldStep + b
+		sum = bits.RotateLeft64(sum, 5)*hashMultiplier + b
 	}
 	return sum
 }
 
-// foldStep is an odd multiplier with many bits set, which mixes the bits of the
+// hashMultiplier is an odd multiplier with many bits set, which mixes the bits of the
 // hash: 2^64 divided by the golden ratio.
-const foldStep = 0x9e3779b97f4a7c15
+const hashMultiplier = 0x9e3779b97f4a7c15
 
-// farDivisor defines the limit of Far: a difference of more than 1/20 of the larger
-// count.
-const farDivisor = 20
+// differenceDivisor defines the limit of DiffersWidely: a difference of more than
+// 1/20 of the larger count.
+const differenceDivisor = 20
 
-// Far reports whether the counts of s and o differ by more than 5% of the larger
-// count.
-func (s Sums) Far(o Sums) bool {
+// DiffersWidely reports whether the counts of s and o differ by more than 5% of the
+// larger count.
+func (s BucketSums) DiffersWidely(o BucketSums) bool {
 	difference := s.Count - o.Count
 	if difference < 0 {
 		difference = -difference
 	}
-	return difference*farDivisor > max(s.Count, o.Count)
+	return difference*differenceDivisor > max(s.Count, o.Count)
 }
 
 // InBuckets reports whether the bucket for the hash of a name is in a set of
--- a/decider/receive.go
+++ b/decider/receive.go
@@ -26,7 +26,7 @@
 		for _, document := range m.List {
 			d.applyDocument(document, e.From)
 		}
-		d.relayer.ApplyAnnouncements("", d.spreader.Digest().Fold())
+		d.relayer.ApplyAnnouncements("", d.spreader.Digest().Hash())
 		d.timeDirty = true
 	case descriptor.Refresh:
 		for _, part := range d.spreader.Answer(m) {
@@ -77,7 +77,7 @@
 	}
 	d.relayer.RecordResponse(d.now, d.now.Add(-time.Duration(m.Age)*time.Millisecond))
 	d.forwardFreshness(next)
-	if d.relayer.ApplyAnnouncements(m.Origin, d.spreader.Digest().Fold()) {
+	if d.relayer.ApplyAnnouncements(m.Origin, d.spreader.Digest().Hash()) {
 		d.send(from, descriptor.Digest{Members: d.gossiper.Digest(), Documents: d.spreader.Digest(), Urgent: true})
 	}
 	d.timeDirty = true
--- a/decider/tick.go
+++ b/decider/tick.go
@@ -106,7 +106,7 @@
 	if !d.options.Routing || !d.watching || !d.synced {
 		return
 	}
-	p, ok := d.relayer.NextFreshness(d.now, d.options.kinds(), d.spreader.Digest().Fold())
+	p, ok := d.relayer.NextFreshness(d.now, d.options.kinds(), d.spreader.Digest().Hash())
 	if ok {
 		d.forwardFreshness(p)
 	}
--- a/descriptor/messages.go
+++ b/descriptor/messages.go
@@ -57,8 +57,8 @@
 
 // Digest carries hash sums of the members and documents that its sender holds.
 type Digest struct {
-	Members   container.Sums
-	Documents container.Sums
+	Members   container.BucketSums
+	Documents container.BucketSums
 	// Urgent asks the receiver to send differing documents immediately.
 	Urgent bool
 }
--- a/estimator/slope.go
+++ b/estimator/slope.go
@@ -215,7 +215,7 @@
 	for i := range 8 {
 		tally.Counts = append(tally.Counts, descriptor.Count{Class: "lookup", Reason: descriptor.Reason(i), Requests: 100000, Bytes: 1 << 30})
 	}
-	var sums container.Sums
+	var sums container.BucketSums
 	for i := range container.Buckets {
 		sums.Buckets[i] = ^uint64(i)
 	}
--- a/gossiper/gossiper.go
+++ b/gossiper/gossiper.go
@@ -132,7 +132,7 @@
 	sequence uint64
 	// digest holds the hash sums of the records of all members that are neither
 	// dead nor left.
-	digest container.Sums
+	digest container.BucketSums
 	// ringChanged is set when the ring changed since the watched instances were
 	// chosen.
 	ringChanged bool
@@ -174,7 +174,7 @@
 
 // Digest returns the hash sums of the records of all members that are neither dead
 // nor left.
-func (g *Gossiper) Digest() container.Sums { return g.digest }
+func (g *Gossiper) Digest() container.BucketSums { return g.digest }
 
 // Linked reports whether there is an open link to an instance.
 func (g *Gossiper) Linked(id string) bool { return g.links.Has(id) }
@@ -283,14 +283,14 @@
 // HandleDigest answers a digest with the records of the buckets that differ. A
 // change that is still spreading makes digests differ for a moment, so a bucket
 // counts only if it differed in the last two digests or the difference is large.
-func (g *Gossiper) HandleDigest(from string, digest container.Sums) {
+func (g *Gossiper) HandleDigest(from string, digest container.BucketSums) {
 	l, ok := g.links.Get(from)
 	if !ok {
 		return
 	}
 	differing := g.digest.Differ(digest)
 	lasting := differing & l.differing
-	if g.digest.Far(digest) {
+	if g.digest.DiffersWidely(digest) {
 		lasting = differing
 	}
 	g.links.Put(from, l.WithDiffering(differing))
@@ -423,14 +423,14 @@
 
 // addRecord adds a record to hash sums. Records of dead and left members are
 // omitted, because instances drop them at different times.
-func addRecord(s container.Sums, m descriptor.Member) container.Sums {
+func addRecord(s container.BucketSums, m descriptor.Member) container.BucketSums {
 	if m.State >= descriptor.Dead {
 		return s
 	}
 	return s.With(xxhash.Sum64String(m.ID), recordHash(m))
 }
 
-func removeRecord(s container.Sums, m descriptor.Member) container.Sums {
+func removeRecord(s container.BucketSums, m descriptor.Member) container.BucketSums {
 	if m.State >= descriptor.Dead {
 		return s
 	}
--- a/gossiper/gossiper_test.go
+++ b/gossiper/gossiper_test.go
@@ -84,7 +84,7 @@
 		x.now = x.now.Add(200 * time.Millisecond)
 		for _, id := range x.order {
 			if g := x.nodes[id]; g != nil {
-				g.Tick(x.now, container.Sums{})
+				g.Tick(x.now, container.BucketSums{})
 				x.carry(id, g)
 				for _, peer := range g.watched {
 					x.link(id, peer)
--- a/gossiper/tick.go
+++ b/gossiper/tick.go
@@ -13,7 +13,7 @@
 // Tick sends heartbeats, suspects silent instances, declares suspected ones dead
 // and spreads changes. The digests sent carry documents as the hash sums of the
 // documents.
-func (g *Gossiper) Tick(now time.Time, documents container.Sums) {
+func (g *Gossiper) Tick(now time.Time, documents container.BucketSums) {
 	g.compensatePause(now)
 	if g.ringChanged {
 		g.chooseWatched(now)
@@ -102,7 +102,7 @@
 }
 
 // sendHeartbeats sends the heartbeats and digests whose interval has passed.
-func (g *Gossiper) sendHeartbeats(now time.Time, documents container.Sums) {
+func (g *Gossiper) sendHeartbeats(now time.Time, documents container.BucketSums) {
 	every := DigestInterval(g.links.Len())
 	for i := range g.links.Len() {
 		id, l := g.links.At(i)
--- a/messenger/messenger_test.go
+++ b/messenger/messenger_test.go
@@ -20,7 +20,7 @@
 		descriptor.Hello{Protocol: Version, From: member},
 		descriptor.Heartbeat{Sequence: 1},
 		descriptor.Members{Records: []descriptor.Member{member}, Buckets: 3},
-		descriptor.Digest{Members: container.Sums{Count: 2}.With(1<<60, 9)},
+		descriptor.Digest{Members: container.BucketSums{Count: 2}.With(1<<60, 9)},
 		descriptor.References{List: []descriptor.Reference{reference}, Buckets: 1},
 		descriptor.Documents{List: []descriptor.Document{
 			{Kind: descriptor.KindService, Name: "s", Revision: 5, At: at, Service: service},
--- a/spreader/spreader.go
+++ b/spreader/spreader.go
@@ -40,7 +40,7 @@
 type Spreader struct {
 	documents *container.Table[key, descriptor.Document]
 	// digest sums up the references of all documents.
-	digest container.Sums
+	digest container.BucketSums
 	// differing holds, for each instance, the set of buckets in which its last
 	// digest differed.
 	differing *container.Table[string, uint64]
@@ -62,7 +62,7 @@
 }
 
 // Digest returns the bucket sums of all documents.
-func (s *Spreader) Digest() container.Sums { return s.digest }
+func (s *Spreader) Digest() container.BucketSums { return s.digest }
 
 // Len returns the number of documents.
 func (s *Spreader) Len() int { return s.documents.Len() }
@@ -147,12 +147,12 @@
 // from the documents held. Buckets that differ for the first time are left out,
 // unless the difference is large or atOnce is set, since the documents may still
 // be under way.
-func (s *Spreader) HandleDigest(from string, digest container.Sums, atOnce bool) []descriptor.References {
+func (s *Spreader) HandleDigest(from string, digest container.BucketSums, atOnce bool) []descriptor.References {
 	before, _ := s.differing.Get(from)
 	differing := s.digest.Differ(digest)
 	s.differing.Put(from, differing)
 	lasting := before & differing
-	if atOnce || s.digest.Far(digest) {
+	if atOnce || s.digest.DiffersWidely(digest) {
 		lasting = differing
 	}
 	var result []descriptor.References
