--- a/commander/apply.go
+++ b/commander/apply.go
@@ -84,7 +84,7 @@
 			ch.exists = true
 			ch.revision = item.Revision
 			if err := json.Unmarshal(item.Value, &ch.stored); err != nil {
-				return nil, eris.Wrapf(storer.ErrGarbage, "%s: %v", item.Key, err)
+				return nil, eris.Wrapf(storer.ErrMalformed, "%s: %v", item.Key, err)
 			}
 		}
 		changes = append(changes, ch)
@@ -125,7 +125,7 @@
 	if err != nil {
 		return eris.Wrap(err, "encode declaration")
 	}
-	item, err := client.PutSettled(ctx, storer.ServiceKey(name), data, ch.revision, 0)
+	item, err := client.PutVerified(ctx, storer.ServiceKey(name), data, ch.revision, 0)
 	switch {
 	case err == nil:
 		fmt.Fprintf(out, "%s: accepted as revision %d\n", name, item.Revision)
--- a/commander/serve.go
+++ b/commander/serve.go
@@ -39,7 +39,7 @@
 	if err != nil {
 		return err
 	}
-	<-stop.Asked()
+	<-stop.ShutdownRequested()
 	l.Event(descriptor.NoteSignal, "", settings.Instance.Name, stop.Reason())
 	s.Shutdown()
 	stop.Finish()
--- a/commander/standin.go
+++ b/commander/standin.go
@@ -51,7 +51,7 @@
 		return err
 	}
 	fmt.Fprintf(out, "listening on %s\n", p.Address())
-	<-stop.Asked()
+	<-stop.ShutdownRequested()
 	p.Close()
 	return nil
 }
@@ -98,7 +98,7 @@
 		return err
 	}
 	fmt.Fprintf(out, "listening on %s\n", p.Address())
-	<-stop.Asked()
+	<-stop.ShutdownRequested()
 	return nil
 }
 
--- a/reporter/reporter.go
+++ b/reporter/reporter.go
@@ -113,7 +113,7 @@
 	}
 	var declared declarer.Service
 	if err := json.Unmarshal(item.Value, &declared); err != nil {
-		return Report{}, eris.Wrapf(storer.ErrGarbage, "%s: %v", item.Key, err)
+		return Report{}, eris.Wrapf(storer.ErrMalformed, "%s: %v", item.Key, err)
 	}
 	var tallies []descriptor.Tally
 	stored, err := client.Get(ctx, storer.TallyKey(service))
@@ -122,7 +122,7 @@
 	}
 	if err == nil {
 		if err := json.Unmarshal(stored.Value, &tallies); err != nil {
-			return Report{}, eris.Wrapf(storer.ErrGarbage, "%s: %v", stored.Key, err)
+			return Report{}, eris.Wrapf(storer.ErrMalformed, "%s: %v", stored.Key, err)
 		}
 	}
 	return Build(declared, item.Revision, tallies, now), nil
--- a/stopper/stopper.go
+++ b/stopper/stopper.go
@@ -8,8 +8,8 @@
 	"syscall"
 )
 
-// Stopper holds a request to shut down, which the first signal or call of RequestShutdown
-// makes. It is safe for use by many goroutines.
+// Stopper holds a request to shut down, which the first signal or call of
+// RequestShutdown makes. It is safe for use by many goroutines.
 type Stopper struct {
 	mu          sync.Mutex
 	requested   chan struct{}
@@ -61,8 +61,8 @@
 	return s.reason
 }
 
-// Asked returns a channel that is closed when a shutdown is requested.
-func (s *Stopper) Asked() <-chan struct{} { return s.requested }
+// ShutdownRequested returns a channel that is closed when a shutdown is requested.
+func (s *Stopper) ShutdownRequested() <-chan struct{} { return s.requested }
 
 // Finish marks the shutdown as done and ends the handling of signals. Only the first
 // call has an effect.
--- a/storer/client.go
+++ b/storer/client.go
@@ -35,8 +35,8 @@
 	ErrTooLarge = eris.New("value too large")
 	// ErrCompacted reports that the requested history is no longer stored.
 	ErrCompacted = eris.New("history compacted")
-	// ErrGarbage reports a malformed answer of the platform or a malformed value.
-	ErrGarbage = eris.New("malformed answer of platform")
+	// ErrMalformed reports a malformed answer of the platform or a malformed value.
+	ErrMalformed = eris.New("malformed answer of platform")
 )
 
 const (
@@ -97,9 +97,9 @@
 	// wait for a change, and returns an empty page if there is none. It returns
 	// ErrCompacted if some of the changes are no longer stored.
 	Watch(ctx context.Context, prefix string, after uint64, wait time.Duration) (Page, error)
-	// Put writes a value if the key has the expected revision; 0 means that the key must
-	// not exist. If lease is positive, the value is removed after that time. With
-	// ErrConflict, Put returns the current item.
+	// Put writes a value if the key has the expected revision; 0 means that the key
+	// must not exist. If lease is positive, the value is removed after that time.
+	// With ErrConflict, Put returns the current item.
 	Put(ctx context.Context, key string, value []byte, expect uint64, lease time.Duration) (Item, error)
 }
 
@@ -117,7 +117,8 @@
 	return &Client{Store: r, listSource: r}
 }
 
-// NewStoreClient returns a client of a store that also holds the list of backend servers.
+// NewStoreClient returns a client of a store that also holds the list of backend
+// servers.
 func NewStoreClient(s Store) *Client { return &Client{Store: s} }
 
 // httpStore is a platform with the protocol of docs/PLATFORM.md.
@@ -175,7 +176,7 @@
 }
 
 // Read sends a GET request to the platform and decodes the answer. It returns
-// ErrUnavailable, ErrNotFound, ErrCompacted or ErrGarbage on failure.
+// ErrUnavailable, ErrNotFound, ErrCompacted or ErrMalformed on failure.
 func Read(ctx context.Context, service httpc.Service, address string, timeout time.Duration, result any) error {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -199,9 +200,9 @@
 	return eris.Wrapf(ErrUnavailable, "%s: status %d", r.URL.Path, response.StatusCode)
 }
 
-// Put writes a value if the key has the expected revision; 0 means that the key must not
-// exist. If lease is positive, the value is removed after that time. With ErrConflict,
-// Put returns the current item.
+// Put writes a value if the key has the expected revision; 0 means that the key must
+// not exist. If lease is positive, the value is removed after that time. With
+// ErrConflict, Put returns the current item.
 func (c *httpStore) Put(ctx context.Context, key string, value []byte, expect uint64, lease time.Duration) (Item, error) {
 	if len(value) > MaxValue {
 		return Item{}, eris.Wrapf(ErrTooLarge, "%s: %d bytes", key, len(value))
@@ -258,12 +259,12 @@
 	return item, eris.Wrapf(ErrUnknown, "%s: status %d", key, response.StatusCode)
 }
 
-// DecodeBody decodes the JSON body of an answer of the platform. It returns ErrGarbage if
-// the body is malformed.
+// DecodeBody decodes the JSON body of an answer of the platform. It returns
+// ErrMalformed if the body is malformed.
 func DecodeBody(response *http.Response, result any) error {
 	err := json.NewDecoder(io.LimitReader(response.Body, maxAnswerBytes)).Decode(result)
 	if err != nil {
-		return eris.Wrapf(ErrGarbage, "%v", err)
+		return eris.Wrapf(ErrMalformed, "%v", err)
 	}
 	return nil
 }
--- a/storer/documents.go
+++ b/storer/documents.go
@@ -36,13 +36,13 @@
 	if name, ok := strings.CutPrefix(item.Key, servicePrefix); ok {
 		var s declarer.Service
 		if err := json.Unmarshal(item.Value, &s); err != nil {
-			return d, eris.Wrapf(ErrGarbage, "%s: %v", item.Key, err)
+			return d, eris.Wrapf(ErrMalformed, "%s: %v", item.Key, err)
 		}
 		if err := s.Check(item.Key); err != nil {
 			return d, err
 		}
 		if s.Name != name {
-			return d, eris.Wrapf(ErrGarbage, "%s declares another service, %q", item.Key, s.Name)
+			return d, eris.Wrapf(ErrMalformed, "%s declares another service, %q", item.Key, s.Name)
 		}
 		d.Kind = descriptor.KindService
 		d.Name = name
@@ -53,11 +53,11 @@
 		d.Kind = descriptor.KindEjections
 		d.Name = name
 		if err := json.Unmarshal(item.Value, &d.Ejections); err != nil {
-			return d, eris.Wrapf(ErrGarbage, "%s: %v", item.Key, err)
+			return d, eris.Wrapf(ErrMalformed, "%s: %v", item.Key, err)
 		}
 		return d, nil
 	}
-	return d, eris.Wrapf(ErrGarbage, "unknown key %q", item.Key)
+	return d, eris.Wrapf(ErrMalformed, "unknown key %q", item.Key)
 }
 
 // Declarations returns the feed of the documents under ConfigPrefix.
@@ -76,8 +76,8 @@
 	}
 }
 
-// backendsDocument returns the document of a service's backend servers. It omits entries
-// without an ID, an address or slots.
+// backendsDocument returns the document of a service's backend servers. It omits
+// entries without an ID, an address or slots.
 func backendsDocument(l ServiceListing) descriptor.Document {
 	d := descriptor.Document{Kind: descriptor.KindBackends, Name: l.Name, Revision: l.Version}
 	for _, b := range l.Backends {
--- a/storer/storer_test.go
+++ b/storer/storer_test.go
@@ -68,14 +68,14 @@
 	s.SetFault(imitator.StoreFault{Lost: 1})
 	_, err := c.Put(ctx, "plain", []byte(`1`), 0, 0)
 	asserter.ErrorIs(t, "put", err, storer.ErrUnknown)
-	item, err := c.PutSettled(ctx, "settled", []byte(`{"a": 1}`), 0, 0)
-	asserter.NoError(t, "put settled", err)
+	item, err := c.PutVerified(ctx, "settled", []byte(`{"a": 1}`), 0, 0)
+	asserter.NoError(t, "put verified", err)
 	asserter.True(t, "has a revision", item.Revision > 0)
 	t.Run("a value of another writer is a conflict", func(t *testing.T) {
 		s.SetFault(imitator.StoreFault{})
 		_, err := c.Put(ctx, "other", []byte(`"theirs"`), 0, 0)
 		asserter.NoError(t, "theirs", err)
-		_, err = c.PutSettled(ctx, "other", []byte(`"mine"`), 0, 0)
+		_, err = c.PutVerified(ctx, "other", []byte(`"mine"`), 0, 0)
 		asserter.ErrorIs(t, "mine", err, storer.ErrConflict)
 	})
 }
--- a/storer/settle.go
+++ b/storer/verify.go
@@ -26,10 +26,10 @@
 	return errors.As(err, &op) && op.Op == "dial"
 }
 
-// PutSettled writes like Put. If the outcome of the write is unknown, it reads the key
+// PutVerified writes like Put. If the outcome of the write is unknown, it reads the key
 // back until the outcome is known, and returns ErrUnknown if this fails. The value must
 // differ from that of every other writer, for example by the identifier of the change.
-func (c *Client) PutSettled(ctx context.Context, key string, value []byte, expect uint64, lease time.Duration) (Item, error) {
+func (c *Client) PutVerified(ctx context.Context, key string, value []byte, expect uint64, lease time.Duration) (Item, error) {
 	item, err := c.Put(ctx, key, value, expect, lease)
 	if !errors.Is(err, ErrUnknown) {
 		return item, err
--- a/storer/writer.go
+++ b/storer/writer.go
@@ -22,8 +22,8 @@
 	claimLease = 24 * time.Hour
 )
 
-// Writer carries out writes to the store in the background and posts their results. It is
-// safe for use by many goroutines.
+// Writer carries out writes to the store in the background and posts their results.
+// It is safe for use by many goroutines.
 type Writer struct {
 	client *Client
 	poster Poster
@@ -129,8 +129,8 @@
 	return writtenEvent(item, err)
 }
 
-// claimKey returns the store key of a claim. It contains a hash of the idempotency key, to
-// bound its length and its set of characters.
+// claimKey returns the store key of a claim. It contains a hash of the idempotency
+// key, to bound its length and its set of characters.
 func claimKey(service, key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return claimPrefix + service + "/" + hex.EncodeToString(sum[:16])
@@ -141,7 +141,7 @@
 	if err != nil {
 		return Item{}, eris.Wrapf(ErrUnavailable, "%s: %v", key, err)
 	}
-	return w.client.PutSettled(w.ctx, key, data, expect, lease)
+	return w.client.PutVerified(w.ctx, key, data, expect, lease)
 }
 
 // writtenEvent returns the event for the result of a write.
