--- a/declarer/routing_test.go
+++ b/declarer/routing_test.go
@@ -41,7 +41,7 @@
 	}
 }
 
-func TestChoose(t *testing.T) {
+func TestChooseService(t *testing.T) {
 	route := sampleRouting().Routes[2]
 	const requests = 300
 	smaller := 0
--- a/detector/estimate.go
+++ b/detector/estimate.go
@@ -77,8 +77,8 @@
 	return e
 }
 
-// ServeProbability returns the estimated probability that a request sent at now does not
-// fail.
+// ServeProbability returns the estimated probability that a request sent at now does
+// not fail.
 func (e GrayEstimate) ServeProbability(now time.Time) float64 {
 	gray := e.WithTime(now).Gray
 	return 1 - gray*grayFailureShare - (1-gray)*healthyFailureShare
--- a/logger/logger.go
+++ b/logger/logger.go
@@ -92,7 +92,7 @@
 	default:
 		return nil, eris.Wrapf(ErrSetting, "format %q", format)
 	}
-	return &Logger{entry: l.WithField("instance", instance), writer: out, requestBudget: requestBudget{volume: v}}, nil
+	return &Logger{entry: l.WithField("instance", instance), writer: out, requestBudget: requestBudget{limits: v}}, nil
 }
 
 // closeTimeout bounds the time for writing the queued lines.
--- a/logger/logger_test.go
+++ b/logger/logger_test.go
@@ -82,7 +82,7 @@
 	l.Close()
 }
 
-func TestVolume(t *testing.T) {
+func TestRequestLimits(t *testing.T) {
 	var out bytes.Buffer
 	l, err := New(&out, "info", "json", "entry-1", RequestLimits{Notable: 2, Sampled: 1})
 	asserter.NoError(t, "new", err)
--- a/logger/request.go
+++ b/logger/request.go
@@ -37,7 +37,7 @@
 
 // requestBudget decides which requests are logged.
 type requestBudget struct {
-	volume          RequestLimits
+	limits          RequestLimits
 	mu              sync.Mutex
 	notable, sample quota
 	// omitted and omittedNotable count the requests that were not logged since
@@ -51,8 +51,8 @@
 func (b *requestBudget) admit(now time.Time, notable bool) (admitted bool, omitted, omittedNotable uint64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.notable = b.notable.WithTime(now, b.volume.Notable)
-	b.sample = b.sample.WithTime(now, b.volume.Sampled)
+	b.notable = b.notable.WithTime(now, b.limits.Notable)
+	b.sample = b.sample.WithTime(now, b.limits.Sampled)
 	q := &b.sample
 	if notable {
 		q = &b.notable
