--- a/balancer/answer.go
+++ b/balancer/answer.go
@@ -53,7 +53,7 @@
 	r = b.cancelOthers(r, e.Attempt)
 	b.requests.Put(r.id, r)
 	if e.Status < http.StatusInternalServerError {
-		if !b.options.Guests {
+		if !b.options.PooledOutcomes {
 			b.budget = b.budget.WithRequest(b.terms)
 		}
 		b.clearCrash(r.fingerprint)
@@ -84,7 +84,7 @@
 // observe returns s with an ended attempt as evidence. Successful answers of a
 // backend server that started recently are not used.
 func (b *Balancer[E, D, P, L]) observe(s backend[E], c int, a attempt, failed bool) backend[E] {
-	if b.options.Guests {
+	if b.options.PooledOutcomes {
 		s = s.WithOutcome(b.now, failed, 0)
 		b.recentOutcomes = b.recentOutcomes.WithOutcome(b.now, failed)
 		b.queueOutcome(a.backend, failed)
@@ -101,7 +101,7 @@
 	}
 	o := detector.Observation{Failed: failed, Tail: b.tail(c, age), Base: b.references[c].FailureRate()}
 	s = s.WithEvidence(b.detector.Observe(s.evidence, o))
-	if b.detector.Score(s.evidence) >= b.detector.Caution()/2 {
+	if b.detector.Score(s.evidence) >= b.detector.AvoidLimit()/2 {
 		return s
 	}
 	if failed {
@@ -139,7 +139,7 @@
 func (b *Balancer[E, D, P, L]) markDraining(s backend[E]) backend[E] {
 	if s.mode != modeLeaving {
 		b.note(descriptor.NoteDrain, s.listed.ID, "announced in an answer")
-		b.sendToServing(descriptor.Drain{Service: b.service.Name, Backend: s.listed.ID})
+		b.sendToOwners(descriptor.Drain{Service: b.service.Name, Backend: s.listed.ID})
 	}
 	return s.WithDrain(b.now)
 }
@@ -219,7 +219,7 @@
 
 // Gone handles a caller that disconnected. Work that is idempotent or has not started
 // is abandoned; other work runs on so that its outcome is known.
-func (b *Balancer[E, D, P, L]) Gone(e descriptor.Gone) {
+func (b *Balancer[E, D, P, L]) Gone(e descriptor.CallerGone) {
 	b.advance(e.At)
 	r, ok := b.requests.Get(e.Request)
 	if !ok {
--- a/balancer/arrive.go
+++ b/balancer/arrive.go
@@ -35,10 +35,10 @@
 		b.ended = append(b.ended, Ended{Request: r.id, Class: e.Class, Reason: descriptor.UnknownRoute})
 		return
 	}
-	if b.options.Guests {
+	if b.options.PooledOutcomes {
 		b.budget = b.budget.WithTime(e.At, b.terms).WithRequest(b.terms)
 	}
-	if reason, retry := b.Barrier(e); reason != descriptor.Served {
+	if reason, retry := b.CheckAdmission(e); reason != descriptor.Served {
 		b.refuse(r, reason, descriptor.NotRun, retry)
 		return
 	}
@@ -54,15 +54,15 @@
 	return -1
 }
 
-// Barrier returns why a request cannot be admitted and when to send it again, or
+// CheckAdmission returns why a request cannot be admitted and when to send it again, or
 // Served if it can.
-func (b *Balancer[E, D, P, L]) Barrier(e descriptor.Arrived) (descriptor.Reason, time.Duration) {
+func (b *Balancer[E, D, P, L]) CheckAdmission(e descriptor.Arrived) (descriptor.Reason, time.Duration) {
 	switch {
 	case b.service.State == declarer.Closing:
 		return descriptor.ServiceClosing, 0
 	case b.service.State == declarer.Closed:
 		return descriptor.ServiceClosed, 0
-	case b.position < 0 && !b.options.Guests:
+	case b.position < 0 && !b.options.PooledOutcomes:
 		return descriptor.Misdirected, 0
 	case b.poisoned(e.Fingerprint):
 		return descriptor.Poisoned, 0
@@ -78,11 +78,11 @@
 func (b *Balancer[E, D, P, L]) admit(r request) {
 	b.trace(r, descriptor.NoteAdmitted, 0, "", "", 0)
 	b.updateRepeatableShare(r)
-	if (b.queued == 0 || b.options.Guests && b.ahead(r.class) == 0) && b.mayStart(r.class) && b.start(r) {
+	if (b.queued == 0 || b.options.PooledOutcomes && b.ahead(r.class) == 0) && b.mayStart(r.class) && b.start(r) {
 		return
 	}
-	patience := b.limiter.Patience(b.queueState(r.class))
-	expires := r.arrived.Add(patience)
+	maxWait := b.limiter.MaxWait(b.queueState(r.class))
+	expires := r.arrived.Add(maxWait)
 	if !r.deadline.IsZero() && r.deadline.Before(expires) {
 		expires = r.deadline
 	}
@@ -103,9 +103,9 @@
 }
 
 // queueState describes the queue of a class for the limiter.
-func (b *Balancer[E, D, P, L]) queueState(c int) limiter.Work {
+func (b *Balancer[E, D, P, L]) queueState(c int) limiter.QueueState {
 	declared := b.classes[c].declared
-	return limiter.Work{
+	return limiter.QueueState{
 		Target:  declared.Target,
 		Typical: b.references[c].Quantile(0.5, 0),
 		Oldest:  b.oldest(c),
@@ -154,7 +154,7 @@
 	if !b.classes[c].declared.Long || !b.hasShort() {
 		return true
 	}
-	return b.longInFlight() < b.limiter.LongLimit(b.slots)
+	return b.longInFlight() < b.limiter.MaxLongSlots(b.slots)
 }
 
 func (b *Balancer[E, D, P, L]) hasShort() bool {
@@ -194,7 +194,7 @@
 	id, s := b.backends.At(position)
 	long := b.classes[r.class].declared.Long
 	r = r.WithAttempt(id, b.now)
-	b.trace(r, descriptor.NotePlaced, r.last, id, "", 0)
+	b.trace(r, descriptor.NoteDispatched, r.last, id, "", 0)
 	b.requests.Put(r.id, r)
 	b.classes[r.class] = b.classes[r.class].WithInFlight(1)
 	s.lastSentAt = b.now
@@ -204,7 +204,7 @@
 
 // pick returns the position of a backend server for r, or -1.
 func (b *Balancer[E, D, P, L]) pick(r request) int {
-	if b.options.Guests {
+	if b.options.PooledOutcomes {
 		return b.pickPooled(r)
 	}
 	if p := b.pickFrom(&b.preferred, r); p >= 0 {
@@ -253,10 +253,10 @@
 	position := set.At(i)
 	_, s := b.backends.At(position)
 	return picker.Candidate{
-		Position: position,
-		InFlight: s.inFlight,
-		Share:    max(1, s.share),
-		Trust:    s.estimate.Trust(b.now),
+		Position:         position,
+		InFlight:         s.inFlight,
+		Share:            max(1, s.share),
+		ServeProbability: s.estimate.ServeProbability(b.now),
 	}
 }
 
@@ -278,7 +278,7 @@
 
 // limit returns how many attempts may be in flight at a backend server.
 func (b *Balancer[E, D, P, L]) limit(s backend[E]) int {
-	if b.options.Guests {
+	if b.options.PooledOutcomes {
 		return s.pooledLimit(b.now)
 	}
 	return s.limit(b.now)
@@ -287,7 +287,7 @@
 // startQueued starts queued requests while there are free slots.
 func (b *Balancer[E, D, P, L]) startQueued() {
 	b.startRetries()
-	if b.options.Guests {
+	if b.options.PooledOutcomes {
 		b.startQueuedPooled()
 		return
 	}
@@ -342,8 +342,8 @@
 // startNext starts the next queued request of class c and reports whether one left
 // the queue.
 func (b *Balancer[E, D, P, L]) startNext(c int) bool {
-	newest := b.limiter.Newest(b.queueState(c))
-	id, ok := b.queues[c].Pop(newest)
+	newestFirst := b.limiter.NewestFirst(b.queueState(c))
+	id, ok := b.queues[c].Pop(newestFirst)
 	if !ok {
 		return false
 	}
@@ -358,7 +358,7 @@
 	if b.start(r) {
 		return true
 	}
-	b.queues[c].Return(r.caller, id, newest)
+	b.queues[c].PutBack(r.caller, id, newestFirst)
 	return false
 }
 
@@ -372,7 +372,7 @@
 			continue
 		}
 		declared := b.classes[c].declared
-		if declared.Long && b.longInFlight() < b.limiter.LongShare(b.slots) {
+		if declared.Long && b.longInFlight() < b.limiter.ReservedLongSlots(b.slots) {
 			return c
 		}
 		slack := declared.Target - b.oldest(c)
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -48,33 +48,33 @@
 	Seed uint64
 	// NextWrite returns an unused write ID.
 	NextWrite func() descriptor.WriteID
-	// Guests is set when non-owners, instances without a share of the slots, also
-	// send work of the service. Outcomes of work are then pooled over all instances
-	// and decide the placement.
-	Guests bool
-	// Retries bounds the retries of all instances together. It applies if Guests is
-	// set.
+	// PooledOutcomes is set when non-owners, instances without a share of the slots,
+	// also send work of the service. Outcomes of work are then pooled over all
+	// instances and decide the placement.
+	PooledOutcomes bool
+	// Retries bounds the retries of all instances together. It applies if
+	// PooledOutcomes is set.
 	Retries retrier.Bounds
 }
 
 // budget returns the retry budget of an instance that has just started.
 func (o Options) budget() retrier.Budget {
-	if o.Guests {
+	if o.PooledOutcomes {
 		return retrier.NewEmptyBudget()
 	}
-	return retrier.NewBudget(retrier.Standard())
+	return retrier.NewBudget(retrier.StandardTerms())
 }
 
 // terms returns how the retry budget of one of a number of owners grows. position is
 // its index among them, or -1 for a non-owner.
 func (o Options) terms(instances, position int) retrier.Terms {
 	switch {
-	case !o.Guests:
-		return retrier.Standard()
+	case !o.PooledOutcomes:
+		return retrier.StandardTerms()
 	case position < 0:
-		return o.Retries.Guest()
+		return o.Retries.NonOwnerTerms()
 	}
-	return o.Retries.Part(instances)
+	return o.Retries.OwnerTerms(instances)
 }
 
 // Balancer holds the state of one service. Only one goroutine may use it.
@@ -92,7 +92,7 @@
 	// queues are indexed like classes.
 	classes    []class
 	references []detector.Reference
-	queues     []*container.Fair[string, descriptor.RequestID]
+	queues     []*container.FairQueue[string, descriptor.RequestID]
 	queued     int
 	// pooled is the service-time distribution over all short classes. It replaces the
 	// distribution of a class with few observations.
@@ -115,9 +115,9 @@
 	terms              retrier.Terms
 	listed             bool
 
-	// serving lists the owners of the service's slots. position is the index of this
+	// owners lists the owners of the service's slots. position is the index of this
 	// instance in it, or -1 for a non-owner.
-	serving  []descriptor.Member
+	owners   []descriptor.Member
 	position int
 	// shareRetainedUntil is until when an instance that is no longer an owner keeps
 	// its share. Zero means that it is an owner or has given up its share.
@@ -156,7 +156,7 @@
 	lastEvaluation   time.Time
 	lastEvidence     time.Time
 	lastFullEvidence time.Time
-	lastDemand       time.Time
+	lastSlotDemandAt time.Time
 	actions          []descriptor.Action
 	ended            []Ended
 	candidate        func(int) picker.Candidate
@@ -217,7 +217,7 @@
 			c = len(b.classes)
 			b.classes = append(b.classes, class{})
 			b.references = append(b.references, detector.Reference{})
-			b.queues = append(b.queues, container.NewFair[string, descriptor.RequestID]())
+			b.queues = append(b.queues, container.NewFairQueue[string, descriptor.RequestID]())
 		}
 		b.classes[c] = b.classes[c].WithDeclared(declared)
 	}
@@ -280,7 +280,7 @@
 	if r.queued {
 		b.queued--
 	}
-	if b.options.Guests && countsAsUnserved(reason) {
+	if b.options.PooledOutcomes && countsAsUnserved(reason) {
 		b.recordUnserved()
 	}
 	b.ended = append(b.ended, Ended{
--- a/balancer/dump.go
+++ b/balancer/dump.go
@@ -13,13 +13,13 @@
 		Revision:  b.revision,
 		State:     b.service.State.String(),
 		Live:      b.backends.Len(),
-		Floor:     b.service.Keep(b.backends.Len()),
+		Floor:     b.service.MinRemaining(b.backends.Len()),
 		Ejections: b.ejections.Ejections,
 		Refused:   b.refusal,
 		Budget:    b.budget.Left,
 		Suspect:   b.crashes.Len(),
 	}
-	for _, m := range b.serving {
+	for _, m := range b.owners {
 		d.Serving = append(d.Serving, m.ID)
 	}
 	for c := range b.classes {
@@ -35,7 +35,7 @@
 	class := b.classes[c]
 	limit := b.slots
 	if class.declared.Long && b.hasShort() {
-		limit = b.limiter.LongLimit(b.slots)
+		limit = b.limiter.MaxLongSlots(b.slots)
 	}
 	return descriptor.ClassDump{
 		Name:     class.declared.Name,
--- a/balancer/outcome.go
+++ b/balancer/outcome.go
@@ -86,10 +86,10 @@
 	m := descriptor.Outcomes{Service: b.service.Name, List: list, Unserved: b.unsentUnserved}
 	b.unsentUnserved = 0
 	if b.position >= 0 {
-		b.sendToServing(m)
+		b.sendToOwners(m)
 		return
 	}
-	if len(b.serving) > 0 {
+	if len(b.owners) > 0 {
 		m.Relay = true
 		b.emit(descriptor.Send{To: b.relayInstance(), Message: m})
 	}
@@ -98,34 +98,35 @@
 // relayInstance returns the owner to which a non-owner sends its outcomes. It stays
 // the same while the owners do, so that a non-owner needs only one link.
 func (b *Balancer[E, D, P, L]) relayInstance() descriptor.Member {
-	n := len(b.serving)
+	n := len(b.owners)
 	first := int(allocator.Weight(b.service.Name, b.options.Self) % uint64(n))
 	for k := range n {
-		if m := b.serving[(first+k)%n]; m.Domain == b.options.Domain {
+		if m := b.owners[(first+k)%n]; m.Domain == b.options.Domain {
 			return m
 		}
 	}
-	return b.serving[first]
+	return b.owners[first]
 }
 
 // suspicionThreshold is the probability of being gray from which a backend server is
 // included in suspicion lists.
 const suspicionThreshold = 0.25
 
-// Doubts returns the suspected backend servers.
-func (b *Balancer[E, D, P, L]) Doubts(now time.Time) []descriptor.Doubt {
-	var list []descriptor.Doubt
+// Suspicions returns the suspected backend servers.
+func (b *Balancer[E, D, P, L]) Suspicions(now time.Time) []descriptor.Suspicion {
+	var list []descriptor.Suspicion
 	for id, s := range b.backends.All {
 		if gray := s.estimate.WithTime(now).Gray; gray >= suspicionThreshold {
-			list = append(list, descriptor.Doubt{Backend: id, Gray: float32(gray)})
+			list = append(list, descriptor.Suspicion{Backend: id, Gray: float32(gray)})
 		}
 	}
 	return list
 }
 
-// HearBulletin applies the suspicion list of the owners. An owner applies only the
-// first one after its start, because its own estimates are more recent afterwards.
-func (b *Balancer[E, D, P, L]) HearBulletin(now time.Time, m descriptor.Bulletin) {
+// HandleSuspicionList applies the suspicion list of the owners. An owner applies only
+// the first one after its start, because its own estimates are more recent
+// afterwards.
+func (b *Balancer[E, D, P, L]) HandleSuspicionList(now time.Time, m descriptor.SuspicionList) {
 	b.advance(now)
 	if b.position >= 0 && b.suspicionsReceived {
 		return
@@ -139,9 +140,9 @@
 		id, s := b.backends.At(i)
 		gray, ok := suspected[id]
 		if !ok {
-			gray = detector.SoundGray
+			gray = detector.HealthyGray
 		}
-		s.estimate = detector.Belief{Gray: min(1, max(0, gray)), At: now}
+		s.estimate = detector.GrayEstimate{Gray: min(1, max(0, gray)), At: now}
 		b.putBackend(i, s)
 	}
 }
@@ -172,7 +173,7 @@
 // updateOtherWork computes the mean number of requests that other instances have at a
 // backend server in use. It stands in for backend servers without a recent report.
 func (b *Balancer[E, D, P, L]) updateOtherWork() {
-	if !b.options.Guests {
+	if !b.options.PooledOutcomes {
 		return
 	}
 	sum, n := 0.0, 0
@@ -200,8 +201,8 @@
 // would hardly change the estimate.
 const maxOutcomes = 8
 
-// HearOutcomes applies outcomes reported by another instance.
-func (b *Balancer[E, D, P, L]) HearOutcomes(now time.Time, m descriptor.Outcomes) {
+// HandleOutcomes applies outcomes reported by another instance.
+func (b *Balancer[E, D, P, L]) HandleOutcomes(now time.Time, m descriptor.Outcomes) {
 	b.advance(now)
 	for range min(m.Unserved, maxOutcomes) {
 		b.recentOutcomes = b.recentOutcomes.WithOutcome(now, true)
--- a/balancer/trace.go
+++ b/balancer/trace.go
@@ -5,10 +5,10 @@
 // trace emits a trace entry for a decision about a request, if outcomes are pooled. a
 // is 0 for decisions that concern no attempt.
 func (b *Balancer[E, D, P, L]) trace(r request, number int, a descriptor.AttemptID, backend, cause string, status int) {
-	if !b.options.Guests {
+	if !b.options.PooledOutcomes {
 		return
 	}
-	t := descriptor.Trace{
+	t := descriptor.TraceEntry{
 		At:       b.now,
 		Number:   number,
 		Request:  r.id,
@@ -20,10 +20,10 @@
 		Cause:    cause,
 	}
 	if !r.deadline.IsZero() {
-		t.Left = r.deadline.Sub(b.now)
+		t.TimeLeft = r.deadline.Sub(b.now)
 	}
 	if s, ok := b.backends.Get(backend); ok {
-		t.Trust = s.estimate.Trust(b.now)
+		t.ServeProbability = s.estimate.ServeProbability(b.now)
 		t.Load = s.load(b.now)
 	}
 	b.emit(t)
--- a/decider/decider.go
+++ b/decider/decider.go
@@ -44,9 +44,9 @@
 	Self descriptor.Member
 	// Seed seeds the random choices, which makes them repeatable.
 	Seed uint64
-	// Patience is how long an instance that starts waits for the configuration
+	// PeerWait is how long an instance that starts waits for the configuration
 	// from other instances before it reads the platform's store itself.
-	Patience time.Duration
+	PeerWait time.Duration
 	// Routing reports whether one routing declares all services. Every instance
 	// then serves all of them, and nothing about them is written to the store.
 	Routing bool
@@ -89,7 +89,7 @@
 	index     *allocator.Index
 	relayer   *relayer.Relayer
 	// routes is nil unless a routing is in force.
-	routes *declarer.Map
+	routes *declarer.RouteIndex
 	// fullyRead holds the kinds of which all documents were read from the store.
 	fullyRead *container.Table[descriptor.Kind, bool]
 	// published is the directory that the traffic goroutines read.
@@ -102,16 +102,16 @@
 	// requests maps each open request to its service.
 	requests *container.Table[descriptor.RequestID, string]
 	// traces holds the trace entries of each open request.
-	traces *container.Table[descriptor.RequestID, []descriptor.Trace]
+	traces *container.Table[descriptor.RequestID, []descriptor.TraceEntry]
 	notes  *container.Ring[descriptor.Note]
 
 	// synced reports whether the configuration is known, and watching whether
 	// this instance watches the platform's store.
 	synced, watching bool
-	// membersSettled reports whether the list of members is taken to be complete;
+	// membersKnown reports whether the list of members is taken to be complete;
 	// syncedAt is when synced was set.
-	membersSettled bool
-	syncedAt       time.Time
+	membersKnown bool
+	syncedAt     time.Time
 	// lastMemberAt is when a new member was last added.
 	lastMemberAt time.Time
 	// dirty reports whether the content of the directory changed, and timeDirty
@@ -135,7 +135,7 @@
 type Standard = Decider[detector.Evidence, detector.Sequential, picker.Sampled, limiter.Adaptive]
 
 // Routed is the decider used under a routing.
-type Routed = Decider[detector.Evidence, detector.Sequential, picker.Trusted, limiter.Bounded]
+type Routed = Decider[detector.Evidence, detector.Sequential, picker.HighestScore, limiter.Bounded]
 
 // RoundRobin is the baseline without ejection.
 type RoundRobin = Decider[detector.Nothing, detector.None, picker.RoundRobin, limiter.Open]
@@ -159,7 +159,7 @@
 		declared:  container.NewTable[string, declaration](),
 		served:    container.NewTable[string, *balancer.Balancer[E, D, P, L]](),
 		requests:  container.NewTable[descriptor.RequestID, string](),
-		traces:    container.NewTable[descriptor.RequestID, []descriptor.Trace](),
+		traces:    container.NewTable[descriptor.RequestID, []descriptor.TraceEntry](),
 		notes:     container.NewRing[descriptor.Note](maxNotes),
 		dirty:     true,
 	}
@@ -203,7 +203,7 @@
 		d.onRequest(e.Request, func(s *balancer.Balancer[E, D, P, L]) { s.Finished(e) })
 	case descriptor.Failed:
 		d.onRequest(e.Request, func(s *balancer.Balancer[E, D, P, L]) { s.Failed(e) })
-	case descriptor.Gone:
+	case descriptor.CallerGone:
 		d.callerGone(e)
 	case descriptor.Probed:
 		d.onService(e.Service, func(s *balancer.Balancer[E, D, P, L]) { s.Probed(e) })
@@ -216,11 +216,11 @@
 	case descriptor.LinkClosed:
 		d.gossiper.LinkClosed(e)
 		d.spreader.Forget(e.Peer)
-	case descriptor.Learned:
-		d.learnDocuments(e)
+	case descriptor.DocumentsRead:
+		d.handleDocumentsRead(e)
 	case descriptor.Written:
 		d.handleWritten(e)
-	case descriptor.Quit:
+	case descriptor.ShutdownRequested:
 		d.startLeaving()
 	}
 	d.applyMemberChanges()
@@ -277,7 +277,7 @@
 	d.actions, d.ended = s.Flush(d.actions, d.ended[:0])
 	kept := d.actions[:before]
 	for _, a := range d.actions[before:] {
-		if t, ok := a.(descriptor.Trace); ok {
+		if t, ok := a.(descriptor.TraceEntry); ok {
 			d.recordTrace(t)
 			continue
 		}
@@ -326,13 +326,13 @@
 		d.admit(e, s)
 		return
 	}
-	if reason, retry := s.Barrier(e); reason != descriptor.Served {
+	if reason, retry := s.CheckAdmission(e); reason != descriptor.Served {
 		d.refuse(e, reason, descriptor.NotRun, retry)
 		return
 	}
 	decision, actions := d.keeper.Begin(e, class.Keyless)
 	d.emitAll(actions)
-	d.resumeRequest(keeper.Settled{Arrived: e, Decision: decision})
+	d.resumeRequest(keeper.Resolved{Arrived: e, Decision: decision})
 }
 
 // refusalReason returns why work for a service that this instance does not serve
@@ -350,7 +350,7 @@
 }
 
 // resumeRequest continues with a request whose idempotency key was decided.
-func (d *Decider[E, D, P, L]) resumeRequest(s keeper.Settled) {
+func (d *Decider[E, D, P, L]) resumeRequest(s keeper.Resolved) {
 	e := s.Arrived
 	switch s.Decision.Verdict {
 	case keeper.Proceed:
@@ -378,8 +378,8 @@
 	d.counter.End(d.now, e.Service, e.Class, reason, outcome, 0, 0)
 }
 
-func (d *Decider[E, D, P, L]) callerGone(e descriptor.Gone) {
-	if arrived, ok := d.keeper.Forget(e.Request); ok {
+func (d *Decider[E, D, P, L]) callerGone(e descriptor.CallerGone) {
+	if arrived, ok := d.keeper.CancelWait(e.Request); ok {
 		d.refuse(arrived, descriptor.Abandoned, descriptor.NotRun, 0)
 		return
 	}
--- a/decider/documents.go
+++ b/decider/documents.go
@@ -10,9 +10,9 @@
 	"monsoonswitch/gossiper"
 )
 
-// learnDocuments handles documents read from the platform's store.
-func (d *Decider[E, D, P, L]) learnDocuments(e descriptor.Learned) {
-	d.relayer.Notice(d.now, e.AsOf)
+// handleDocumentsRead handles documents read from the platform's store.
+func (d *Decider[E, D, P, L]) handleDocumentsRead(e descriptor.DocumentsRead) {
+	d.relayer.RecordResponse(d.now, e.AsOf)
 	for _, document := range e.Documents {
 		d.applyDocument(document, "")
 	}
@@ -38,11 +38,11 @@
 
 // confirmFresh records the time as of which the documents of a kind are the
 // newest.
-func (d *Decider[E, D, P, L]) confirmFresh(e descriptor.Learned) {
+func (d *Decider[E, D, P, L]) confirmFresh(e descriptor.DocumentsRead) {
 	if e.AsOf.IsZero() {
 		return
 	}
-	d.relayer.Confirm(e.Kind, e.AsOf)
+	d.relayer.RecordRead(e.Kind, e.AsOf)
 	d.timeDirty = true
 }
 
@@ -73,7 +73,7 @@
 	case descriptor.KindBackends:
 		d.applyBackends(document)
 	case descriptor.KindEjections:
-		d.onService(document.Name, func(s *balancer.Balancer[E, D, P, L]) { s.Eject(d.now, document) })
+		d.onService(document.Name, func(s *balancer.Balancer[E, D, P, L]) { s.SetEjections(d.now, document) })
 	}
 }
 
@@ -122,13 +122,15 @@
 		})
 		d.updateServing(services[i].Name)
 	}
-	d.routes = declarer.NewMap(*document.Routing)
+	d.routes = declarer.NewRouteIndex(*document.Routing)
 	d.publishNow()
 }
 
 func (d *Decider[E, D, P, L]) applyBackends(document descriptor.Document) {
 	d.updateServingCount(document.Name)
-	d.onService(document.Name, func(s *balancer.Balancer[E, D, P, L]) { s.List(d.now, document.Backends, d.relayer.MayReturn()) })
+	d.onService(document.Name, func(s *balancer.Balancer[E, D, P, L]) {
+		s.SetBackends(d.now, document.Backends, d.relayer.RestoreDeadline())
+	})
 }
 
 // updateServingCount sets how many instances serve a service, from the slots of
@@ -199,7 +201,7 @@
 	if !d.served.Has(service) && containsMember(serving, d.options.Self.ID) {
 		d.startServing(service)
 	}
-	d.onService(service, func(s *balancer.Balancer[E, D, P, L]) { s.Serve(d.now, serving) })
+	d.onService(service, func(s *balancer.Balancer[E, D, P, L]) { s.SetOwners(d.now, serving) })
 }
 
 // updateRoutedServing applies the instances that callers are sent to as the slot
@@ -209,7 +211,7 @@
 		d.startServing(service)
 	}
 	serving := d.index.Get(callersRole)
-	d.onService(service, func(s *balancer.Balancer[E, D, P, L]) { s.Serve(d.now, serving) })
+	d.onService(service, func(s *balancer.Balancer[E, D, P, L]) { s.SetOwners(d.now, serving) })
 }
 
 // startServing creates the balancer of a service that this instance begins to
@@ -220,20 +222,20 @@
 		return
 	}
 	s := balancer.New[E, D, P, L](known.service, balancer.Options{
-		Self:      d.options.Self.ID,
-		Seed:      d.options.Seed,
-		NextWrite: d.nextWrite,
-		Guests:    d.options.Routing,
-		Domain:    d.options.Self.Domain,
-		Retries:   d.options.Retries,
+		Self:           d.options.Self.ID,
+		Seed:           d.options.Seed,
+		NextWrite:      d.nextWrite,
+		PooledOutcomes: d.options.Routing,
+		Domain:         d.options.Self.Domain,
+		Retries:        d.options.Retries,
 	})
 	s.Declare(known.service, known.revision)
 	d.counter.InForce(d.now, service, known.revision)
 	if list, ok := d.spreader.Get(descriptor.KindBackends, service); ok {
-		s.List(d.now, list.Backends, time.Time{})
+		s.SetBackends(d.now, list.Backends, time.Time{})
 	}
 	if set, ok := d.spreader.Get(descriptor.KindEjections, service); ok {
-		s.Eject(d.now, set)
+		s.SetEjections(d.now, set)
 	}
 	d.served.Put(service, s)
 }
@@ -246,7 +248,7 @@
 	}
 	var done []string
 	for service, s := range d.served.All {
-		if !s.Serves() && !s.Busy() {
+		if !s.OwnsSlots() && !s.Busy() {
 			done = append(done, service)
 		}
 	}
@@ -261,7 +263,7 @@
 	actions, changes := d.gossiper.Drain()
 	d.emitAll(actions)
 	if len(changes) > 0 {
-		d.keeper.SetFleet(d.index.Members())
+		d.keeper.SetFleetSize(d.index.Members())
 	}
 	for _, c := range changes {
 		if c.Before.ID == "" {
@@ -315,7 +317,7 @@
 	if d.published != nil && !d.dirty {
 		*next = *d.published
 	} else {
-		services := make(map[string]*descriptor.Entry, d.declared.Len())
+		services := make(map[string]*descriptor.ServiceEntry, d.declared.Len())
 		for name, s := range d.declared.All {
 			services[name] = d.directoryEntry(name, s)
 		}
@@ -325,21 +327,21 @@
 	}
 	next.Ready = d.synced
 	next.Leaving = d.shutdown.started
-	next.Settled = d.options.Routing && d.membersSettled
+	next.MembersKnown = d.options.Routing && d.membersKnown
 	next.Current = d.relayer.Current(d.options.kinds())
 	d.published = next
 	return next
 }
 
-func (d *Decider[E, D, P, L]) directoryEntry(name string, known declaration) *descriptor.Entry {
+func (d *Decider[E, D, P, L]) directoryEntry(name string, known declaration) *descriptor.ServiceEntry {
 	serving := d.index.Get(name)
 	if d.options.Routing {
 		serving = d.index.Get(callersRole)
 	}
-	return &descriptor.Entry{
+	return &descriptor.ServiceEntry{
 		Service:  known.service,
 		Revision: known.revision,
 		Serving:  serving,
-		Here:     containsMember(serving, d.options.Self.ID),
+		Local:    containsMember(serving, d.options.Self.ID),
 	}
 }
--- a/decider/receive.go
+++ b/decider/receive.go
@@ -10,14 +10,14 @@
 
 // handleMessage handles a message from another instance.
 func (d *Decider[E, D, P, L]) handleMessage(e descriptor.Received) {
-	d.gossiper.Heard(e.At, e.From)
+	d.gossiper.RecordReceived(e.At, e.From)
 	from, ok := d.gossiper.Member(e.From)
 	if !ok {
 		return
 	}
 	switch m := e.Message.(type) {
 	case descriptor.Members:
-		d.gossiper.HearMembers(e.At, e.From, m)
+		d.gossiper.HandleMembers(e.At, e.From, m)
 	case descriptor.Digest:
 		d.handleDigest(from, m)
 	case descriptor.References:
@@ -26,21 +26,21 @@
 		for _, document := range m.List {
 			d.applyDocument(document, e.From)
 		}
-		d.relayer.Settle("", d.spreader.Digest().Fold())
+		d.relayer.ApplyAnnouncements("", d.spreader.Digest().Hash())
 		d.timeDirty = true
 	case descriptor.Refresh:
 		for _, part := range d.spreader.Answer(m) {
 			d.send(from, part)
 		}
-	case descriptor.Pulse:
+	case descriptor.Freshness:
 		d.handleFreshness(from, m)
-	case descriptor.Bulletin:
-		d.handleSuspicions(m)
+	case descriptor.SuspicionList:
+		d.handleSuspicionList(m)
 	case descriptor.TallyReport:
 		d.writer.Merge(m.Tally)
-	case descriptor.Receipt:
+	case descriptor.TallyReceipt:
 		d.counter.Confirm(m)
-	case descriptor.Claim, descriptor.Verdict, descriptor.Settle, descriptor.Inherit:
+	case descriptor.Claim, descriptor.Verdict, descriptor.KeySettlement, descriptor.KeyHandover:
 		d.handleKeyMessage(from, m)
 	default:
 		d.handleServiceMessage(from, m)
@@ -55,7 +55,7 @@
 // differences. An instance that is not ready gets its answer at once, followed by
 // a digest from which it learns that nothing is missing.
 func (d *Decider[E, D, P, L]) handleDigest(from descriptor.Member, m descriptor.Digest) {
-	d.gossiper.HearDigest(from.ID, m.Members)
+	d.gossiper.HandleDigest(from.ID, m.Members)
 	for _, part := range d.spreader.HandleDigest(from.ID, m.Documents, !from.Ready || m.Urgent) {
 		d.send(from, part)
 	}
@@ -70,27 +70,27 @@
 
 // handleFreshness handles a freshness announcement: it forwards it, and sends a
 // digest to its sender if the announced documents are not all held.
-func (d *Decider[E, D, P, L]) handleFreshness(from descriptor.Member, m descriptor.Pulse) {
-	next, ok := d.relayer.Hear(d.now, m)
+func (d *Decider[E, D, P, L]) handleFreshness(from descriptor.Member, m descriptor.Freshness) {
+	next, ok := d.relayer.HandleFreshness(d.now, m)
 	if !ok {
 		return
 	}
-	d.relayer.Notice(d.now, d.now.Add(-time.Duration(m.Age)*time.Millisecond))
+	d.relayer.RecordResponse(d.now, d.now.Add(-time.Duration(m.Age)*time.Millisecond))
 	d.forwardFreshness(next)
-	if d.relayer.Settle(m.Origin, d.spreader.Digest().Fold()) {
+	if d.relayer.ApplyAnnouncements(m.Origin, d.spreader.Digest().Hash()) {
 		d.send(from, descriptor.Digest{Members: d.gossiper.Digest(), Documents: d.spreader.Digest(), Urgent: true})
 	}
 	d.timeDirty = true
 }
 
-// handleSuspicions forwards a suspicion list and gives it to the balancer of its
+// handleSuspicionList forwards a suspicion list and gives it to the balancer of its
 // service.
-func (d *Decider[E, D, P, L]) handleSuspicions(m descriptor.Bulletin) {
+func (d *Decider[E, D, P, L]) handleSuspicionList(m descriptor.SuspicionList) {
 	if !d.relayer.Newer("bulletin/"+m.Service+"/"+m.Origin, m.Incarnation, m.Sequence) {
 		return
 	}
 	d.sendToChildren(m.Origin, m)
-	d.onService(m.Service, func(s *balancer.Balancer[E, D, P, L]) { s.HearBulletin(d.now, m) })
+	d.onService(m.Service, func(s *balancer.Balancer[E, D, P, L]) { s.HandleSuspicionList(d.now, m) })
 }
 
 func (d *Decider[E, D, P, L]) sendDigest(to descriptor.Member) {
@@ -111,17 +111,17 @@
 func (d *Decider[E, D, P, L]) handleKeyMessage(from descriptor.Member, message descriptor.Message) {
 	switch m := message.(type) {
 	case descriptor.Claim:
-		d.emitAll(d.keeper.HearClaim(d.now, from, m))
+		d.emitAll(d.keeper.HandleClaim(d.now, from, m))
 	case descriptor.Verdict:
-		settled, ok, actions := d.keeper.HearVerdict(from, m)
+		resolved, ok, actions := d.keeper.HandleVerdict(from, m)
 		d.emitAll(actions)
 		if ok {
-			d.resumeRequest(settled)
+			d.resumeRequest(resolved)
 		}
-	case descriptor.Settle:
-		d.keeper.HearSettle(from.ID, m)
-	case descriptor.Inherit:
-		d.keeper.HearInherit(m)
+	case descriptor.KeySettlement:
+		d.keeper.HandleSettlement(from.ID, m)
+	case descriptor.KeyHandover:
+		d.keeper.HandleKeyHandover(m)
 	}
 }
 
@@ -130,24 +130,24 @@
 func (d *Decider[E, D, P, L]) handleServiceMessage(from descriptor.Member, message descriptor.Message) {
 	switch m := message.(type) {
 	case descriptor.Outcomes:
-		d.onService(m.Service, func(s *balancer.Balancer[E, D, P, L]) { s.HearOutcomes(d.now, m) })
+		d.onService(m.Service, func(s *balancer.Balancer[E, D, P, L]) { s.HandleOutcomes(d.now, m) })
 	case descriptor.Evidence:
-		d.onService(m.Service, func(s *balancer.Balancer[E, D, P, L]) { s.HearEvidence(d.now, from.ID, m) })
-	case descriptor.Crash:
-		d.onService(m.Service, func(s *balancer.Balancer[E, D, P, L]) { s.HearCrash(d.now, m) })
+		d.onService(m.Service, func(s *balancer.Balancer[E, D, P, L]) { s.HandleEvidence(d.now, from.ID, m) })
+	case descriptor.CrashReport:
+		d.onService(m.Service, func(s *balancer.Balancer[E, D, P, L]) { s.HandleCrash(d.now, m) })
 	case descriptor.Drain:
-		d.onService(m.Service, func(s *balancer.Balancer[E, D, P, L]) { s.HearDrain(d.now, m) })
-	case descriptor.Demand:
-		d.onService(m.Service, func(s *balancer.Balancer[E, D, P, L]) { s.HearDemand(d.now, from, m) })
-	case descriptor.Loan:
-		d.onService(m.Service, func(s *balancer.Balancer[E, D, P, L]) { s.HearLoan(d.now, m) })
+		d.onService(m.Service, func(s *balancer.Balancer[E, D, P, L]) { s.HandleDrain(d.now, m) })
+	case descriptor.SlotDemand:
+		d.onService(m.Service, func(s *balancer.Balancer[E, D, P, L]) { s.HandleSlotDemand(d.now, from, m) })
+	case descriptor.SlotLease:
+		d.onService(m.Service, func(s *balancer.Balancer[E, D, P, L]) { s.HandleSlotLease(d.now, m) })
 	}
 }
 
 // handleWritten handles the result of a write to the store.
 func (d *Decider[E, D, P, L]) handleWritten(e descriptor.Written) {
-	if settled, ok := d.keeper.Written(e); ok {
-		d.resumeRequest(settled)
+	if resolved, ok := d.keeper.Written(e); ok {
+		d.resumeRequest(resolved)
 		return
 	}
 	if receipts, ok := d.writer.Written(e); ok {
@@ -158,7 +158,7 @@
 			// Retry now: waiting for the next tick would lose against another
 			// writer again, because a fleet that leaves all at once has as many
 			// writers as instances.
-			d.emitAll(d.writer.Due(d.now, d.declared.Len()))
+			d.emitAll(d.writer.NextWrites(d.now, d.declared.Len()))
 		}
 		return
 	}
@@ -170,7 +170,7 @@
 	}
 }
 
-func (d *Decider[E, D, P, L]) sendReceipt(instance string, r descriptor.Receipt) {
+func (d *Decider[E, D, P, L]) sendReceipt(instance string, r descriptor.TallyReceipt) {
 	if instance == d.options.Self.ID {
 		d.counter.Confirm(r)
 		return
@@ -186,7 +186,7 @@
 	document, ok := s.Written(e)
 	if ok {
 		d.spreader.Take(document, "")
-		s.Eject(d.now, document)
+		s.SetEjections(d.now, document)
 	}
 	d.collect(service, s)
 }
--- a/decider/tick.go
+++ b/decider/tick.go
@@ -20,8 +20,8 @@
 
 // tick does all work that depends on time alone.
 func (d *Decider[E, D, P, L]) tick() {
-	for _, settled := range d.keeper.Tick(d.now) {
-		d.resumeRequest(settled)
+	for _, resolved := range d.keeper.Tick(d.now) {
+		d.resumeRequest(resolved)
 	}
 	for i := range d.served.Len() {
 		service, s := d.served.At(i)
@@ -43,7 +43,7 @@
 		d.lastTallyAt = d.now
 		d.reportTallies()
 	}
-	d.updateMembersSettled()
+	d.updateMembersKnown()
 	d.advanceShutdown()
 	d.publish()
 }
@@ -85,9 +85,9 @@
 // freshness announcements.
 func (d *Decider[E, D, P, L]) updateWatching() {
 	chosen := containsMember(d.index.Get(watchRole), d.options.Self.ID)
-	alone := !d.synced && d.now.Sub(d.started) >= d.options.Patience
+	alone := !d.synced && d.now.Sub(d.started) >= d.options.PeerWait
 	if d.options.Routing && d.synced {
-		alone = d.relayer.Stale(d.now, d.options.kinds())
+		alone = d.relayer.MustQuery(d.now, d.options.kinds())
 	}
 	active := (chosen || alone) && !d.shutdown.started
 	if active == d.watching {
@@ -106,7 +106,7 @@
 	if !d.options.Routing || !d.watching || !d.synced {
 		return
 	}
-	p, ok := d.relayer.Pulse(d.now, d.options.kinds(), d.spreader.Digest().Fold())
+	p, ok := d.relayer.NextFreshness(d.now, d.options.kinds(), d.spreader.Digest().Hash())
 	if ok {
 		d.forwardFreshness(p)
 	}
@@ -114,7 +114,7 @@
 
 // forwardFreshness forwards a freshness announcement to this instance's children
 // in the distribution tree.
-func (d *Decider[E, D, P, L]) forwardFreshness(p descriptor.Pulse) {
+func (d *Decider[E, D, P, L]) forwardFreshness(p descriptor.Freshness) {
 	d.sendToChildren(p.Origin, p)
 }
 
@@ -139,12 +139,12 @@
 	d.lastSuspicionsAt = d.now
 	for service, s := range d.served.All {
 		d.suspicionSequence++
-		m := descriptor.Bulletin{
+		m := descriptor.SuspicionList{
 			Origin:      d.options.Self.ID,
 			Incarnation: d.options.Self.Incarnation,
 			Sequence:    d.suspicionSequence,
 			Service:     service,
-			List:        s.Doubts(d.now),
+			List:        s.Suspicions(d.now),
 		}
 		d.sendToChildren(m.Origin, m)
 	}
@@ -157,7 +157,7 @@
 		return
 	}
 	every := counter.WriteInterval(d.declared.Len())
-	for _, t := range d.counter.Due(d.now) {
+	for _, t := range d.counter.NextReports(d.now) {
 		t.Every = every
 		writer, ok := d.tallyWriter(t.Service)
 		if !ok {
@@ -169,7 +169,7 @@
 		}
 		d.send(writer, descriptor.TallyReport{Tally: t})
 	}
-	d.emitAll(d.writer.Due(d.now, d.declared.Len()))
+	d.emitAll(d.writer.NextWrites(d.now, d.declared.Len()))
 }
 
 // tallyWriter returns the instance that writes the tallies of a service. The last
@@ -189,21 +189,21 @@
 	// memberQuietTime is the time without a new member from which the list counts
 	// as complete.
 	memberQuietTime = 400 * time.Millisecond
-	// memberSettleLimit is the time after which it counts as complete in any
+	// membersKnownLimit is the time after which it counts as complete in any
 	// case.
-	memberSettleLimit = 3 * time.Second
+	membersKnownLimit = 3 * time.Second
 )
 
-// updateMembersSettled sets membersSettled once the list of members is taken to
+// updateMembersKnown sets membersKnown once the list of members is taken to
 // be complete.
-func (d *Decider[E, D, P, L]) updateMembersSettled() {
-	if !d.synced || d.membersSettled {
+func (d *Decider[E, D, P, L]) updateMembersKnown() {
+	if !d.synced || d.membersKnown {
 		return
 	}
 	since := d.now.Sub(d.syncedAt)
 	quiet := since >= memberQuietTime && d.now.Sub(d.lastMemberAt) >= memberQuietTime
-	if quiet || since >= memberSettleLimit {
-		d.membersSettled = true
+	if quiet || since >= membersKnownLimit {
+		d.membersKnown = true
 		d.timeDirty = true
 	}
 }
--- a/descriptor/messages.go
+++ b/descriptor/messages.go
@@ -22,18 +22,18 @@
 	TypeEvidence
 	TypeClaim
 	TypeVerdict
-	TypeSettle
-	TypeCrash
+	TypeKeySettlement
+	TypeCrashReport
 	TypeTally
-	TypeReceipt
+	TypeTallyReceipt
 	TypeRefresh
-	TypeDemand
-	TypeLoan
+	TypeSlotDemand
+	TypeSlotLease
 	TypeDrain
-	TypeInherit
-	TypePulse
+	TypeKeyHandover
+	TypeFreshness
 	TypeOutcomes
-	TypeBulletin
+	TypeSuspicionList
 )
 
 // Hello is the first message on a link in each direction.
@@ -57,16 +57,16 @@
 
 // Digest carries hash sums of the members and documents that its sender holds.
 type Digest struct {
-	Members   container.Sums
-	Documents container.Sums
+	Members   container.BucketSums
+	Documents container.BucketSums
 	// Urgent asks the receiver to send differing documents immediately.
 	Urgent bool
 }
 
-// Pulse is a freshness announcement: Age milliseconds ago, the platform's store
+// Freshness is a freshness announcement: Age milliseconds ago, the platform's store
 // held nothing newer than the documents with the hash sum Sum. It is forwarded
 // along a tree of all instances.
-type Pulse struct {
+type Freshness struct {
 	// Origin and Incarnation identify the instance that watches the store.
 	Origin      string
 	Incarnation int64
@@ -138,15 +138,15 @@
 // describe the earlier run.
 type Verdict struct {
 	Request RequestID
-	// Key is the claimed key prefixed with its service, as in Settle.
+	// Key is the claimed key prefixed with its service, as in KeySettlement.
 	Key     string
 	Granted bool
 	Reason  Reason
 	Outcome Outcome
 }
 
-// Settle reports to the issuer of a key how a granted run ended.
-type Settle struct {
+// KeySettlement reports to the issuer of a key how a granted run ended.
+type KeySettlement struct {
 	Key     string
 	Outcome Outcome
 }
@@ -160,8 +160,8 @@
 	Holder string
 }
 
-// Inherit hands over the idempotency keys of a leaving instance to its successor.
-type Inherit struct {
+// KeyHandover hands over the idempotency keys of a leaving instance to its successor.
+type KeyHandover struct {
 	Instance    string
 	Incarnation int64
 	// Floor is the newest epoch with keys that may have been dropped.
@@ -173,8 +173,8 @@
 	Total int
 }
 
-// Crash reports that a backend server crashed after a request was sent to it.
-type Crash struct {
+// CrashReport reports that a backend server crashed after a request was sent to it.
+type CrashReport struct {
 	Service string
 	// Fingerprint identifies the request; see Arrived.
 	Fingerprint uint64
@@ -184,15 +184,14 @@
 	Cleared bool
 }
 
-// Demand reports how many slots beyond its share its sender could use now.
-type Demand struct {
+// SlotDemand reports how many slots beyond its share its sender could use now.
+type SlotDemand struct {
 	Service string
 	Slots   int
 }
 
-// Loan is a slot lease: it leases out slots of one backend server for a bounded
-// time.
-type Loan struct {
+// SlotLease leases out slots of one backend server for a bounded time.
+type SlotLease struct {
 	Service string
 	Backend string
 	Slots   int
@@ -210,8 +209,8 @@
 // TallyReport carries a tally to the instance that writes it to the store.
 type TallyReport struct{ Tally Tally }
 
-// Receipt confirms that a tally was written to the platform's store.
-type Receipt struct {
+// TallyReceipt confirms that a tally was written to the platform's store.
+type TallyReceipt struct {
 	Service     string
 	Incarnation int64
 	Version     uint64
@@ -282,45 +281,45 @@
 func (Verdict) Type() MessageType { return TypeVerdict }
 
 // Type implements Message.
-func (Settle) Type() MessageType { return TypeSettle }
+func (KeySettlement) Type() MessageType { return TypeKeySettlement }
 
 // Type implements Message.
-func (Inherit) Type() MessageType { return TypeInherit }
+func (KeyHandover) Type() MessageType { return TypeKeyHandover }
 
 // Type implements Message.
-func (Pulse) Type() MessageType { return TypePulse }
+func (Freshness) Type() MessageType { return TypeFreshness }
 
 // Type implements Message.
 func (Outcomes) Type() MessageType { return TypeOutcomes }
 
-// Bulletin is a suspicion list: the backend servers of a service that the slot
-// owners suspect to be gray. It is forwarded along a tree of all instances.
-type Bulletin struct {
-	// Origin, Incarnation and Sequence are as in Pulse.
+// SuspicionList lists the backend servers of a service that the slot owners suspect
+// to be gray. It is forwarded along a tree of all instances.
+type SuspicionList struct {
+	// Origin, Incarnation and Sequence are as in Freshness.
 	Origin      string
 	Incarnation int64
 	Sequence    uint64
 	Service     string
-	List        []Doubt
+	List        []Suspicion
 }
 
-// Doubt is a suspicion: the estimated probability that a backend server is gray.
-type Doubt struct {
+// Suspicion is the estimated probability that a backend server is gray.
+type Suspicion struct {
 	Backend string
 	Gray    float32
 }
 
 // Type implements Message.
-func (Bulletin) Type() MessageType { return TypeBulletin }
+func (SuspicionList) Type() MessageType { return TypeSuspicionList }
 
 // Type implements Message.
-func (Crash) Type() MessageType { return TypeCrash }
+func (CrashReport) Type() MessageType { return TypeCrashReport }
 
 // Type implements Message.
-func (Demand) Type() MessageType { return TypeDemand }
+func (SlotDemand) Type() MessageType { return TypeSlotDemand }
 
 // Type implements Message.
-func (Loan) Type() MessageType { return TypeLoan }
+func (SlotLease) Type() MessageType { return TypeSlotLease }
 
 // Type implements Message.
 func (Drain) Type() MessageType { return TypeDrain }
@@ -329,4 +328,4 @@
 func (TallyReport) Type() MessageType { return TypeTally }
 
 // Type implements Message.
-func (Receipt) Type() MessageType { return TypeReceipt }
+func (TallyReceipt) Type() MessageType { return TypeTallyReceipt }
--- a/gossiper/gossiper.go
+++ b/gossiper/gossiper.go
@@ -132,7 +132,7 @@
 	sequence uint64
 	// digest holds the hash sums of the records of all members that are neither
 	// dead nor left.
-	digest container.Sums
+	digest container.BucketSums
 	// ringChanged is set when the ring changed since the watched instances were
 	// chosen.
 	ringChanged bool
@@ -174,7 +174,7 @@
 
 // Digest returns the hash sums of the records of all members that are neither dead
 // nor left.
-func (g *Gossiper) Digest() container.Sums { return g.digest }
+func (g *Gossiper) Digest() container.BucketSums { return g.digest }
 
 // Linked reports whether there is an open link to an instance.
 func (g *Gossiper) Linked(id string) bool { return g.links.Has(id) }
@@ -207,7 +207,7 @@
 
 // Leave publishes that this instance left, and the successor for its keys.
 func (g *Gossiper) Leave(now time.Time, successor string) {
-	g.updateSelf(now, g.self.WithReady(false).WithHeir(successor).WithState(descriptor.Left, nil))
+	g.updateSelf(now, g.self.WithReady(false).WithSuccessor(successor).WithState(descriptor.Left, nil))
 	g.Flush()
 }
 
@@ -248,19 +248,19 @@
 	g.watchedAt.Put(e.Peer, e.At)
 }
 
-// Heard records that a message from an instance was received. It also restores a
-// missing link entry, because the close of an older link may be reported after a
-// newer link was opened.
-func (g *Gossiper) Heard(now time.Time, from string) {
+// RecordReceived records that a message from an instance was received. It also
+// restores a missing link entry, because the close of an older link may be reported
+// after a newer link was opened.
+func (g *Gossiper) RecordReceived(now time.Time, from string) {
 	if l, ok := g.links.Get(from); ok || g.members.Has(from) {
 		g.links.Put(from, l.WithReceived(now))
 	}
 }
 
-// HearMembers merges received records. If the message is complete for some
+// HandleMembers merges received records. If the message is complete for some
 // buckets, the answer carries the records of these buckets that the sender lacks
 // or holds in older versions.
-func (g *Gossiper) HearMembers(now time.Time, from string, m descriptor.Members) {
+func (g *Gossiper) HandleMembers(now time.Time, from string, m descriptor.Members) {
 	g.source = from
 	defer func() { g.source = "" }()
 	seen := make(map[string]descriptor.Member, len(m.Records))
@@ -280,17 +280,17 @@
 	g.sendRecords(from, missing)
 }
 
-// HearDigest answers a digest with the records of the buckets that differ. A
+// HandleDigest answers a digest with the records of the buckets that differ. A
 // change that is still spreading makes digests differ for a moment, so a bucket
 // counts only if it differed in the last two digests or the difference is large.
-func (g *Gossiper) HearDigest(from string, digest container.Sums) {
+func (g *Gossiper) HandleDigest(from string, digest container.BucketSums) {
 	l, ok := g.links.Get(from)
 	if !ok {
 		return
 	}
 	differing := g.digest.Differ(digest)
 	lasting := differing & l.differing
-	if g.digest.Far(digest) {
+	if g.digest.DiffersWidely(digest) {
 		lasting = differing
 	}
 	g.links.Put(from, l.WithDiffering(differing))
@@ -423,14 +423,14 @@
 
 // addRecord adds a record to hash sums. Records of dead and left members are
 // omitted, because instances drop them at different times.
-func addRecord(s container.Sums, m descriptor.Member) container.Sums {
+func addRecord(s container.BucketSums, m descriptor.Member) container.BucketSums {
 	if m.State >= descriptor.Dead {
 		return s
 	}
 	return s.With(xxhash.Sum64String(m.ID), recordHash(m))
 }
 
-func removeRecord(s container.Sums, m descriptor.Member) container.Sums {
+func removeRecord(s container.BucketSums, m descriptor.Member) container.BucketSums {
 	if m.State >= descriptor.Dead {
 		return s
 	}
--- a/gossiper/gossiper_test.go
+++ b/gossiper/gossiper_test.go
@@ -84,7 +84,7 @@
 		x.now = x.now.Add(200 * time.Millisecond)
 		for _, id := range x.order {
 			if g := x.nodes[id]; g != nil {
-				g.Tick(x.now, container.Sums{})
+				g.Tick(x.now, container.BucketSums{})
 				x.carry(id, g)
 				for _, peer := range g.watched {
 					x.link(id, peer)
@@ -114,12 +114,12 @@
 	if to == nil || !linked || x.cut[[2]string{from, a.To.ID}] {
 		return
 	}
-	to.Heard(x.now, from)
+	to.RecordReceived(x.now, from)
 	switch m := a.Message.(type) {
 	case descriptor.Members:
-		to.HearMembers(x.now, from, x.visible(a.To.ID, m))
+		to.HandleMembers(x.now, from, x.visible(a.To.ID, m))
 	case descriptor.Digest:
-		to.HearDigest(from, m.Members)
+		to.HandleDigest(from, m.Members)
 	}
 }
 
--- a/logger/logger.go
+++ b/logger/logger.go
@@ -22,40 +22,40 @@
 
 // Catalogue holds all events by number.
 var Catalogue = map[int]Event{
-	descriptor.NoteStarted:       {logrus.InfoLevel, "instance started"},
-	descriptor.NoteReady:         {logrus.InfoLevel, "instance ready"},
-	descriptor.NoteLeaving:       {logrus.InfoLevel, "instance shutting down"},
-	descriptor.NoteStopped:       {logrus.InfoLevel, "instance stopped"},
-	descriptor.NoteSignal:        {logrus.InfoLevel, "signal received"},
-	descriptor.NoteRevision:      {logrus.InfoLevel, "declaration in force"},
-	descriptor.NoteStoreAway:     {logrus.WarnLevel, "platform unreachable"},
-	descriptor.NoteStoreBack:     {logrus.InfoLevel, "platform reachable again"},
-	descriptor.NoteBadDocument:   {logrus.ErrorLevel, "invalid document in store"},
-	descriptor.NoteWatching:      {logrus.InfoLevel, "watching the platform's store"},
-	descriptor.NoteMemberNew:     {logrus.InfoLevel, "instance discovered"},
-	descriptor.NoteMemberSuspect: {logrus.WarnLevel, "instance suspected"},
-	descriptor.NoteMemberDead:    {logrus.WarnLevel, "instance declared dead"},
-	descriptor.NoteMemberLeft:    {logrus.InfoLevel, "instance left"},
-	descriptor.NoteLinkBad:       {logrus.WarnLevel, "link refused"},
-	descriptor.NoteEjected:       {logrus.WarnLevel, "backend server ejected"},
-	descriptor.NoteReturned:      {logrus.InfoLevel, "backend server reinstated after ejection"},
-	descriptor.NoteAvoided:       {logrus.InfoLevel, "backend server avoided"},
-	descriptor.NoteDown:          {logrus.WarnLevel, "backend server down"},
-	descriptor.NoteUp:            {logrus.InfoLevel, "backend server up"},
-	descriptor.NoteDrain:         {logrus.InfoLevel, "backend server draining"},
-	descriptor.NotePoison:        {logrus.ErrorLevel, "request crashes backend servers"},
-	descriptor.NoteTrial:         {logrus.InfoLevel, "backend server on trial"},
-	descriptor.NoteAdmitted:      {logrus.InfoLevel, "request admitted"},
-	descriptor.NoteQueued:        {logrus.InfoLevel, "request queued"},
-	descriptor.NotePlaced:        {logrus.InfoLevel, "request sent to backend server"},
-	descriptor.NoteAnswered:      {logrus.InfoLevel, "backend server answered"},
-	descriptor.NoteAttemptFailed: {logrus.InfoLevel, "attempt failed"},
-	descriptor.NoteRefused:       {logrus.InfoLevel, "request refused"},
-	descriptor.NoteCancelled:     {logrus.InfoLevel, "attempt cancelled"},
-	descriptor.NoteEnded:         {logrus.InfoLevel, "request ended"},
-	descriptor.NoteLogDropped:    {logrus.InfoLevel, "requests omitted from the log"},
-	descriptor.NoteTallyLate:     {logrus.WarnLevel, "tallies unconfirmed"},
-	descriptor.NoteTallyFinal:    {logrus.InfoLevel, "tallies confirmed"},
+	descriptor.NoteStarted:          {logrus.InfoLevel, "instance started"},
+	descriptor.NoteReady:            {logrus.InfoLevel, "instance ready"},
+	descriptor.NoteLeaving:          {logrus.InfoLevel, "instance shutting down"},
+	descriptor.NoteStopped:          {logrus.InfoLevel, "instance stopped"},
+	descriptor.NoteSignal:           {logrus.InfoLevel, "signal received"},
+	descriptor.NoteRevision:         {logrus.InfoLevel, "declaration in force"},
+	descriptor.NoteStoreUnreachable: {logrus.WarnLevel, "platform unreachable"},
+	descriptor.NoteStoreReachable:   {logrus.InfoLevel, "platform reachable again"},
+	descriptor.NoteDocumentInvalid:  {logrus.ErrorLevel, "invalid document in store"},
+	descriptor.NoteWatching:         {logrus.InfoLevel, "watching the platform's store"},
+	descriptor.NoteMemberNew:        {logrus.InfoLevel, "instance discovered"},
+	descriptor.NoteMemberSuspect:    {logrus.WarnLevel, "instance suspected"},
+	descriptor.NoteMemberDead:       {logrus.WarnLevel, "instance declared dead"},
+	descriptor.NoteMemberLeft:       {logrus.InfoLevel, "instance left"},
+	descriptor.NoteLinkRefused:      {logrus.WarnLevel, "link refused"},
+	descriptor.NoteEjected:          {logrus.WarnLevel, "backend server ejected"},
+	descriptor.NoteReinstated:       {logrus.InfoLevel, "backend server reinstated after ejection"},
+	descriptor.NoteAvoided:          {logrus.InfoLevel, "backend server avoided"},
+	descriptor.NoteDown:             {logrus.WarnLevel, "backend server down"},
+	descriptor.NoteUp:               {logrus.InfoLevel, "backend server up"},
+	descriptor.NoteDrain:            {logrus.InfoLevel, "backend server draining"},
+	descriptor.NotePoison:           {logrus.ErrorLevel, "request crashes backend servers"},
+	descriptor.NoteTrial:            {logrus.InfoLevel, "backend server on trial"},
+	descriptor.NoteAdmitted:         {logrus.InfoLevel, "request admitted"},
+	descriptor.NoteQueued:           {logrus.InfoLevel, "request queued"},
+	descriptor.NoteDispatched:       {logrus.InfoLevel, "request sent to backend server"},
+	descriptor.NoteAnswered:         {logrus.InfoLevel, "backend server answered"},
+	descriptor.NoteAttemptFailed:    {logrus.InfoLevel, "attempt failed"},
+	descriptor.NoteRefused:          {logrus.InfoLevel, "request refused"},
+	descriptor.NoteCancelled:        {logrus.InfoLevel, "attempt cancelled"},
+	descriptor.NoteEnded:            {logrus.InfoLevel, "request ended"},
+	descriptor.NoteLogDropped:       {logrus.InfoLevel, "requests omitted from the log"},
+	descriptor.NoteTallyLate:        {logrus.WarnLevel, "tallies unconfirmed"},
+	descriptor.NoteTallyFinal:       {logrus.InfoLevel, "tallies confirmed"},
 }
 
 // Logger writes the events of one instance. It is safe for use by many goroutines.
@@ -65,17 +65,17 @@
 	requestBudget requestBudget
 }
 
-// Volume bounds the number of requests that are logged.
-type Volume struct {
+// RequestLimits bounds the number of requests that are logged.
+type RequestLimits struct {
 	// Notable is the number of requests per second that are logged because they failed,
 	// were refused, were retried or missed their target. Sampled is the number of other
 	// requests per second.
 	Notable, Sampled float64
 }
 
-// New returns a logger with the given level and format, which is text or json. It returns
-// ErrSetting if the level or the format is unknown.
-func New(w io.Writer, level, format, instance string, v Volume) (*Logger, error) {
+// New returns a logger with the given level and format, which is text or json. It
+// returns ErrSetting if the level or the format is unknown.
+func New(w io.Writer, level, format, instance string, v RequestLimits) (*Logger, error) {
 	l := logrus.New()
 	out := newWriter(w)
 	l.SetOutput(out)
@@ -92,7 +92,7 @@
 	default:
 		return nil, eris.Wrapf(ErrSetting, "format %q", format)
 	}
-	return &Logger{entry: l.WithField("instance", instance), writer: out, requestBudget: requestBudget{volume: v}}, nil
+	return &Logger{entry: l.WithField("instance", instance), writer: out, requestBudget: requestBudget{limits: v}}, nil
 }
 
 // closeTimeout bounds the time for writing the queued lines.
--- a/messenger/messenger_test.go
+++ b/messenger/messenger_test.go
@@ -13,14 +13,14 @@
 // samples returns one message of each type.
 func samples() []descriptor.Message {
 	at := time.Date(2026, 1, 2, 3, 4, 5, 6, time.UTC)
-	member := descriptor.Member{ID: "a", Incarnation: 3, Version: 4, Public: "p", Inner: "i", Domain: "d", State: descriptor.Suspect, Accusers: []string{"b"}, Ready: true, Heir: "h"}
+	member := descriptor.Member{ID: "a", Incarnation: 3, Version: 4, Public: "p", Inner: "i", Domain: "d", State: descriptor.Suspect, Accusers: []string{"b"}, Ready: true, Successor: "h"}
 	service := &declarer.Service{Name: "s", Floor: 2, Classes: []declarer.Class{{Name: "c", Target: time.Second}}, Routes: []declarer.Route{{Name: "r", Path: "/", Class: "c"}}}
 	reference := descriptor.Reference{Kind: descriptor.KindBackends, Name: "s", Revision: 5}
 	return []descriptor.Message{
 		descriptor.Hello{Protocol: Version, From: member},
 		descriptor.Heartbeat{Sequence: 1},
 		descriptor.Members{Records: []descriptor.Member{member}, Buckets: 3},
-		descriptor.Digest{Members: container.Sums{Count: 2}.With(1<<60, 9)},
+		descriptor.Digest{Members: container.BucketSums{Count: 2}.With(1<<60, 9)},
 		descriptor.References{List: []descriptor.Reference{reference}, Buckets: 1},
 		descriptor.Documents{List: []descriptor.Document{
 			{Kind: descriptor.KindService, Name: "s", Revision: 5, At: at, Service: service},
@@ -30,18 +30,18 @@
 		descriptor.Evidence{Service: "s", Scores: []descriptor.Score{{Backend: "b", Value: 2.5, Recent: 3}}},
 		descriptor.Claim{Service: "s", Key: "k", Request: 7},
 		descriptor.Verdict{Request: 7, Key: "k", Reason: descriptor.KeyUsed, Outcome: descriptor.Ran},
-		descriptor.Settle{Key: "k", Outcome: descriptor.Ran},
-		descriptor.Crash{Service: "s", Fingerprint: 1 << 63, Backend: "b"},
+		descriptor.KeySettlement{Key: "k", Outcome: descriptor.Ran},
+		descriptor.CrashReport{Service: "s", Fingerprint: 1 << 63, Backend: "b"},
 		descriptor.TallyReport{Tally: descriptor.Tally{Service: "s", Since: at, At: at, Counts: []descriptor.Count{{Class: "c", Requests: 1}}, Latency: []uint64{1, 2}}},
-		descriptor.Receipt{Service: "s", Incarnation: 1, Version: 2},
+		descriptor.TallyReceipt{Service: "s", Incarnation: 1, Version: 2},
 		descriptor.Refresh{List: []descriptor.Reference{reference}},
-		descriptor.Demand{Service: "s", Slots: 2},
-		descriptor.Loan{Service: "s", Backend: "b", Slots: 1, Millis: 1000},
-		descriptor.Pulse{Origin: "a", Incarnation: 1, Sequence: 2, Sum: 1 << 63, Age: 30},
+		descriptor.SlotDemand{Service: "s", Slots: 2},
+		descriptor.SlotLease{Service: "s", Backend: "b", Slots: 1, Millis: 1000},
+		descriptor.Freshness{Origin: "a", Incarnation: 1, Sequence: 2, Sum: 1 << 63, Age: 30},
 		descriptor.Outcomes{Service: "s", List: []descriptor.BackendOutcomes{{Backend: "b", Before: 2, Bad: 1, After: 1}}},
-		descriptor.Bulletin{Origin: "a", Incarnation: 1, Sequence: 2, Service: "s", List: []descriptor.Doubt{{Backend: "b", Gray: 0.5}}},
+		descriptor.SuspicionList{Origin: "a", Incarnation: 1, Sequence: 2, Service: "s", List: []descriptor.Suspicion{{Backend: "b", Gray: 0.5}}},
 		descriptor.Drain{Service: "s", Backend: "b"},
-		descriptor.Inherit{Instance: "a", Incarnation: 1, Keys: []descriptor.KeyRecord{{Key: "k", State: 1, Holder: "b"}}, Last: true, Total: 1},
+		descriptor.KeyHandover{Instance: "a", Incarnation: 1, Keys: []descriptor.KeyRecord{{Key: "k", State: 1, Holder: "b"}}, Last: true, Total: 1},
 	}
 }
 
--- a/server/server.go
+++ b/server/server.go
@@ -46,7 +46,7 @@
 	questions []*listener.Listener
 	inner     *listener.Listener
 	operators *listener.Listener
-	// exitAllowed is closed, and isExitAllowed set, by the action Leave.
+	// exitAllowed is closed, and isExitAllowed set, by the action ShutdownComplete.
 	exitAllowed   chan struct{}
 	isExitAllowed atomic.Bool
 }
@@ -132,7 +132,7 @@
 		Key:   s.settings.Inner.Key,
 		Seeds: s.settings.Inner.Seeds,
 		Reject: func(peer string, err error) {
-			s.log.Event(descriptor.NoteLinkBad, "", peer, err.Error())
+			s.log.Event(descriptor.NoteLinkRefused, "", peer, err.Error())
 		},
 	}, control)
 	s.follower = storer.NewFollower(client, feeds, s.pace(), control, platformReporter{s.log})
@@ -183,7 +183,7 @@
 	o := decider.Options{
 		Self:     s.self,
 		Seed:     uint64(now.UnixNano()),
-		Patience: s.settings.Platform.Patience,
+		PeerWait: s.settings.Platform.Patience,
 		Routing:  s.usesRouting(),
 		Retries:  retrier.Bounds(s.settings.Retries),
 		Grace:    s.settings.Limits.Grace,
@@ -195,7 +195,7 @@
 		return decider.New[int, detector.Consecutive, picker.LeastLoaded, limiter.Open](o, now)
 	}
 	if s.usesRouting() {
-		return decider.New[detector.Evidence, detector.Sequential, picker.Trusted, limiter.Bounded](o, now)
+		return decider.New[detector.Evidence, detector.Sequential, picker.HighestScore, limiter.Bounded](o, now)
 	}
 	return decider.NewStandard(o, now)
 }
@@ -217,9 +217,9 @@
 		s.follower.SetActive(a.Active)
 	case descriptor.Note:
 		s.log.Note(a)
-	case descriptor.Trail:
+	case descriptor.RequestTrace:
 		s.log.LogRequest(time.Now(), a)
-	case descriptor.Leave:
+	case descriptor.ShutdownComplete:
 		if !s.isExitAllowed.Swap(true) {
 			close(s.exitAllowed)
 		}
@@ -263,7 +263,7 @@
 // Shutdown finishes every request in flight, hands over state to other instances and
 // stops the instance. It takes as long as the longest request.
 func (s *Server) Shutdown() {
-	s.controller.Post(descriptor.Quit{At: time.Now()})
+	s.controller.Post(descriptor.ShutdownRequested{At: time.Now()})
 	<-s.exitAllowed
 	ctx, cancel := context.WithTimeout(context.Background(), closeTime)
 	defer cancel()
@@ -297,13 +297,13 @@
 // ReachabilityChanged implements storer.Reporter.
 func (p platformReporter) ReachabilityChanged(source string, ok bool, err error) {
 	if ok {
-		p.log.Event(descriptor.NoteStoreBack, "", source, "")
+		p.log.Event(descriptor.NoteStoreReachable, "", source, "")
 		return
 	}
-	p.log.Event(descriptor.NoteStoreAway, "", source, err.Error())
+	p.log.Event(descriptor.NoteStoreUnreachable, "", source, err.Error())
 }
 
 // BadDocument implements storer.Reporter.
 func (p platformReporter) BadDocument(key string, err error) {
-	p.log.Event(descriptor.NoteBadDocument, "", key, err.Error())
+	p.log.Event(descriptor.NoteDocumentInvalid, "", key, err.Error())
 }
