--- a/balancer/answer.go
+++ b/balancer/answer.go
@@ -32,8 +32,9 @@
 	return r, i, i >= 0
 }
 
-// Answered handles the head of an answer. The first answer is delivered; later ones
-// are cancelled.
+// Answered handles the head of an answer. The first answer is delivered and the other
+// attempts are cancelled. A server error is not delivered if the request has another
+// open attempt or can be retried.
 func (b *Balancer[E, D, P, L]) Answered(e descriptor.Answered) {
 	b.advance(e.At)
 	r, i, ok := b.openAttempt(e.Request, e.Attempt)
@@ -81,8 +82,9 @@
 	b.putBackend(p, s)
 }
 
-// observe returns s with an ended attempt as evidence. Successful answers of a
-// backend server that started recently are not used.
+// observe returns s with an answered or failed attempt as evidence for the detector.
+// Successful answers of a cold backend server are not used as evidence. If outcomes are
+// pooled, each attempt also updates the estimate, and a failure updates only that.
 func (b *Balancer[E, D, P, L]) observe(s backend[E], c int, a attempt, failed bool) backend[E] {
 	if b.options.PooledOutcomes {
 		s = s.WithOutcome(b.now, failed, 0)
@@ -134,11 +136,11 @@
 	return b.references[c].Tail(age, declared.Target)
 }
 
-// markDraining returns s after it announced that it is leaving, and notifies the
-// other owners.
+// markDraining returns s after it announced that it is leaving or the wrong backend
+// server answered at its address, and notifies the other owners.
 func (b *Balancer[E, D, P, L]) markDraining(s backend[E]) backend[E] {
 	if s.mode != modeLeaving {
-		b.note(descriptor.NoteDrain, s.listed.ID, "announced in an answer")
+		b.note(descriptor.NoteDrain, s.listed.ID, "announced in an answer, or the wrong backend server answered")
 		b.sendToOwners(descriptor.Drain{Service: b.service.Name, Backend: s.listed.ID})
 	}
 	return s.WithDrain(b.now)
--- a/balancer/arrive.go
+++ b/balancer/arrive.go
@@ -74,7 +74,8 @@
 	return descriptor.Served, 0
 }
 
-// admit starts a request or queues it.
+// admit starts a request, queues it, or refuses it if its maximum wait or deadline has
+// passed or the limiter does not admit it.
 func (b *Balancer[E, D, P, L]) admit(r request) {
 	b.trace(r, descriptor.NoteAdmitted, 0, "", "", 0)
 	b.updateRepeatableShare(r)
@@ -362,8 +363,9 @@
 	return false
 }
 
-// nextClass returns the class whose queue is served next, or -1. Long work below its
-// share comes first, then the class whose oldest request is closest to its target.
+// nextClass returns the class whose queue is served next, or -1. Long work that holds
+// fewer than its reserved slots comes first, then the class whose oldest request is
+// closest to its target.
 func (b *Balancer[E, D, P, L]) nextClass() int {
 	best := -1
 	var bestSlack time.Duration
--- a/balancer/backend.go
+++ b/balancer/backend.go
@@ -13,7 +13,9 @@
 const (
 	// modeReady allows all work.
 	modeReady mode = iota
-	// modeTrial allows single replayable requests after an ejection.
+	// modeTrial allows one attempt of this instance at a time after an ejection, of
+	// work that can be retried unless all backend servers are suspected. If outcomes
+	// are pooled, all work is allowed, but only while no ready one has a free slot.
 	modeTrial
 	// modeEjected allows no new work until the hold-off ends.
 	modeEjected
@@ -32,12 +34,12 @@
 // Durations and limits in the life of a backend server.
 const (
 	// rampTime is the time in which the usable share of a backend server grows to its
-	// full size after a start, a breakdown or an ejection.
+	// full size after a start, a breakdown, a drain or an ejection.
 	rampTime = 5 * time.Second
 	// coldTime is the time after a start for which service times are not used as
 	// evidence.
 	coldTime = 10 * time.Second
-	// drainTime is how long one announced drain stays in effect.
+	// drainTime is how long a drain stays in effect after its last announcement.
 	drainTime = 30 * time.Second
 	// minProbeWait and maxProbeWait bound the wait between probes of a backend server
 	// that is down.
@@ -57,7 +59,7 @@
 	// leasedInUntil.
 	leasedIn      int
 	leasedInUntil time.Time
-	// leasedOut is the number of slots leased out. They may not be used here until
+	// leasedOut is the number of slots leased out. This instance may not use them until
 	// leasedOutUntil.
 	leasedOut      int
 	leasedOutUntil time.Time
@@ -93,8 +95,9 @@
 	lastSentAt time.Time
 	// fleetScore is the evidence of all owners together at the last tick.
 	fleetScore float64
-	// observations counts those of the current window, previousObservations those of
-	// the window before it.
+	// observations is the number of observations in the current window, and
+	// previousObservations that in the window before it. A window lasts at least
+	// fullEvidenceInterval.
 	observations, previousObservations int
 	// avoided is set while other backend servers are preferred, until avoidUntil.
 	// avoidCount is the number of times in a row that it was set.
@@ -109,7 +112,7 @@
 	// restoreDeadline is until when an unlisted backend server may be listed again
 	// after an outage of the store. Zero means that it is listed.
 	restoreDeadline time.Time
-	// drainUntil is until when an announced drain stays in effect.
+	// drainUntil is until when a drain stays in effect.
 	drainUntil time.Time
 	// probeAt is the time of the next probe while the backend server is down.
 	// probeWait is the wait before it.
@@ -291,7 +294,7 @@
 	return b
 }
 
-// WithDrain returns b after it announced that it is leaving.
+// WithDrain returns b leaving for at least drainTime.
 func (b backend[E]) WithDrain(now time.Time) backend[E] {
 	b.mode = modeLeaving
 	b.drainUntil = now.Add(drainTime)
@@ -351,14 +354,14 @@
 const overcommitRatio = 0.67
 
 // pooledLimit returns how many attempts may be in flight at now if the slots are not
-// divided among instances.
+// divided among instances. Shares, leases, ramps and trials do not limit them.
 func (b backend[E]) pooledLimit(now time.Time) int {
 	switch b.mode {
 	case modeEjected, modeDown, modeLeaving:
 		return 0
 	}
-	// Requests beyond that wait in the queue of this instance, where they can still
-	// be reordered or placed elsewhere.
+	// Requests beyond overcommitRatio wait in the queue of this instance, where they
+	// can still be reordered or sent to another backend server.
 	if b.load(now) >= 1+overcommitRatio {
 		return 0
 	}
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -113,21 +113,25 @@
 	requests           *container.Table[descriptor.RequestID, request]
 	budget             retrier.Budget
 	terms              retrier.Terms
-	listed             bool
+	// listReceived is set once a list of backend servers was applied. Backend servers
+	// that are new in later lists are taken as just started.
+	listReceived bool
 
 	// owners lists the owners of the service's slots. position is the index of this
 	// instance in it, or -1 for a non-owner.
 	owners   []descriptor.Member
 	position int
 	// shareRetainedUntil is until when an instance that is no longer an owner keeps
-	// its share. Zero means that it is an owner or has given up its share.
+	// its share. Zero means that it is an owner or no longer has a share.
 	shareRetainedUntil time.Time
 
 	ejections descriptor.Document
 	proposal  proposal
-	refusal   string
-	peers     map[string]peerEvidence
-	crashes   *container.Generations[uint64, crash]
+	// refusal is why the last proposed ejection was not written: "floor" or the result
+	// of the write to the store. It is empty if there was no such reason.
+	refusal string
+	peers   map[string]peerEvidence
+	crashes *container.Generations[uint64, crash]
 	// knownLeaving holds the incarnations that were ever listed as leaving.
 	knownLeaving *container.Generations[string, bool]
 	// unsentOutcomes holds the outcomes not yet sent to the other instances.
@@ -294,7 +298,7 @@
 	})
 }
 
-// refuse ends a request and tells its caller the reason.
+// refuse ends a request and reports the reason to its caller.
 func (b *Balancer[E, D, P, L]) refuse(r request, reason descriptor.Reason, outcome descriptor.Outcome, retry time.Duration) {
 	b.trace(r, descriptor.NoteRefused, 0, "", reason.String()+" "+outcome.String(), 0)
 	b.emit(descriptor.Refuse{Request: r.id, Reason: reason, Outcome: outcome, Retry: retry})
--- a/balancer/eject.go
+++ b/balancer/eject.go
@@ -14,21 +14,23 @@
 	// in a row.
 	minHoldOff = 10 * time.Second
 	maxHoldOff = 5 * time.Minute
-	// strikeTime is how long after its end an ejection counts as one in a row.
+	// strikeTime is how long after its end an ejection still counts as a strike, which
+	// lengthens the next hold-off.
 	strikeTime = 2 * time.Minute
 	// minAvoidTime and maxAvoidTime bound how long an instance prefers other backend
 	// servers on its own evidence.
 	minAvoidTime = 2 * time.Second
 	maxAvoidTime = time.Minute
-	// proposalWait is the wait after a proposal that did not reach the store.
+	// proposalWait is the wait after a proposal for which the store was unavailable or
+	// the result of the write is unknown.
 	proposalWait = time.Second
 	// evidenceLifetime is how long the last evidence of another instance is used.
 	evidenceLifetime = 10 * time.Second
 	// onlyUserFactor multiplies the evidence needed by an instance that is the only
 	// one with work at a backend server.
 	onlyUserFactor = 1.5
-	// urgentScoreRatio is the part of the detector's limit from which evidence is
-	// sent at once.
+	// urgentScoreRatio is the part of the detector's limit from which evidence is sent
+	// every evidenceInterval instead of every fullEvidenceInterval.
 	urgentScoreRatio = 0.2
 	// corroborationRatio is the part of the limit that the evidence must reach
 	// without the instance that reports the highest score.
@@ -67,7 +69,8 @@
 	}
 }
 
-func (b *Balancer[E, D, P, L]) forgetPeers() {
+// deleteFormerOwners deletes the evidence of instances that are no longer owners.
+func (b *Balancer[E, D, P, L]) deleteFormerOwners() {
 	keep := make(map[string]bool, len(b.owners))
 	for _, m := range b.owners {
 		keep[m.ID] = true
@@ -84,7 +87,8 @@
 	position int
 	// own and total are relative to the median over the healthy backend servers.
 	own, total float64
-	// corroboration is total without the highest score of one instance.
+	// corroboration is the sum of the scores of all owners except the highest. Unlike
+	// total, it is not relative to the median.
 	corroboration float64
 	// onlyUser is set if all other owners reported that they had no work there.
 	onlyUser bool
@@ -160,8 +164,9 @@
 	return values[(len(values)-1)/2]
 }
 
-// updateAvoidance avoids a backend server once the evidence of this instance
-// suffices. It tries the backend server again after a wait that doubles each time.
+// updateAvoidance ends a trial with enough answers, and avoids a backend server once
+// the evidence of this instance reaches the detector's AvoidLimit. The time for which
+// it is avoided doubles each time in a row, up to maxAvoidTime.
 func (b *Balancer[E, D, P, L]) updateAvoidance(v assessment) {
 	if b.options.PooledOutcomes {
 		// Pooled outcomes decide the placement instead.
@@ -188,7 +193,7 @@
 	s.avoidUntil = b.now.Add(min(maxAvoidTime, minAvoidTime<<min(s.avoidCount, 8)))
 	s.avoidCount++
 	b.backends.SetAt(v.position, s)
-	b.note(descriptor.NoteAvoided, id, "others are preferred here")
+	b.note(descriptor.NoteAvoided, id, "this instance prefers other backend servers")
 }
 
 // finishTrial ends the trial of a backend server that gave enough answers.
@@ -270,8 +275,8 @@
 	b.emit(descriptor.Write{Write: b.proposal.id, Document: document, Expect: b.ejections.Revision})
 }
 
-// ejectionAllowance returns how many backend servers may be ejected at once. Those
-// that are down or leaving do not count as capacity.
+// ejectionAllowance returns how many backend servers may be ejected at the same time.
+// Those that are down or leaving do not count as capacity.
 func (b *Balancer[E, D, P, L]) ejectionAllowance() int {
 	live, down := 0, 0
 	for _, s := range b.backends.All {
@@ -286,8 +291,8 @@
 	return live - down - b.service.Keep(live)
 }
 
-// keptEjections returns the entries of the set that still matter for the number of
-// strikes.
+// keptEjections returns the entries of known backend servers whose hold-off has not
+// ended or ended less than strikeTime ago. The latter still count as strikes.
 func (b *Balancer[E, D, P, L]) keptEjections() []descriptor.Ejection {
 	var kept []descriptor.Ejection
 	for _, e := range b.ejections.Ejections {
--- a/balancer/eject_test.go
+++ b/balancer/eject_test.go
@@ -127,7 +127,7 @@
 		x.b.HandleEvidence(x.now, "entry-1", descriptor.Evidence{Scores: []descriptor.Score{{Backend: "b0", Recent: 20}}})
 		x.run(100 * time.Millisecond)
 		asserter.True(t, "nothing proposed", x.proposal() == nil)
-		asserter.True(t, "avoided here", x.b.Avoids("b0"))
+		asserter.True(t, "avoided by this instance", x.b.Avoids("b0"))
 	})
 	t.Run("no backend server is ejected if all are slow", func(t *testing.T) {
 		x := newFixture(t, 2, 6, 3)
--- a/balancer/fail.go
+++ b/balancer/fail.go
@@ -95,8 +95,9 @@
 	return ok
 }
 
-// retryAfterError cancels an attempt that was answered with a server error and
-// retries the request if allowed. It reports whether the attempt was cancelled.
+// retryAfterError cancels an attempt that was answered with a server error if the
+// request has another open attempt or can be retried, and in the latter case retries
+// it. It reports whether the attempt was cancelled.
 func (b *Balancer[E, D, P, L]) retryAfterError(r request, i int) bool {
 	failed := descriptor.Failed{Fault: descriptor.FaultStatus}
 	if r.count > 1 {
@@ -155,8 +156,9 @@
 	b.putBackend(p, s)
 }
 
-// shed handles work that a backend server refused. A refusal with free slots by its
-// own report is a failure; otherwise the backend server is full.
+// shed handles work that a backend server refused. If outcomes are pooled, a refusal
+// with free slots by its own report is a failure. Otherwise the backend server is
+// taken to be full.
 func (b *Balancer[E, D, P, L]) shed(s backend[E], e descriptor.Failed) backend[E] {
 	s = s.WithLoad(e.Load, e.At)
 	if b.options.PooledOutcomes && !reportsFull(e.Load) {
--- a/balancer/list.go
+++ b/balancer/list.go
@@ -18,7 +18,7 @@
 		present[listed.ID] = true
 		b.addListed(listed)
 	}
-	b.listed = true
+	b.listReceived = true
 	for _, id := range b.backendIDs() {
 		if !present[id] {
 			b.handleMissing(id, restoreDeadline)
@@ -39,8 +39,8 @@
 func (b *Balancer[E, D, P, L]) addListed(listed descriptor.Backend) {
 	s, ok := b.backends.Get(listed.ID)
 	if !ok {
-		s = newBackend[E](listed, b.now, b.listed)
-		if b.listed {
+		s = newBackend[E](listed, b.now, b.listReceived)
+		if b.listReceived {
 			s.rampFrom = b.now
 			s.coldUntil = b.now.Add(coldTime)
 		}
@@ -55,8 +55,8 @@
 }
 
 // withKnownLeaving returns an entry marked as leaving if its incarnation was ever
-// listed so. A delayed entry may not show it, but an incarnation that leaves never
-// returns.
+// listed so and outcomes are pooled. A delayed entry may not show it, but an
+// incarnation that leaves never returns.
 func (b *Balancer[E, D, P, L]) withKnownLeaving(listed descriptor.Backend) descriptor.Backend {
 	if !b.options.PooledOutcomes {
 		return listed
@@ -104,7 +104,8 @@
 	b.backends.Put(id, s.WithListed(listed).WithMode(modeLeaving))
 }
 
-// isListed reports whether the platform still lists a backend server.
+// isListed reports whether a backend server is known and its entry is not marked as
+// leaving. delist marks the entry of one that is no longer listed but has work.
 func (b *Balancer[E, D, P, L]) isListed(id string) bool {
 	s, ok := b.backends.Get(id)
 	return ok && !s.listed.Leaving
@@ -116,8 +117,9 @@
 	b.refresh()
 }
 
-// nonOwnerShare is the number of slots that a non-owner may use at each backend
-// server, whose queue has room for a few more requests.
+// nonOwnerShare is the share of a non-owner at each backend server. It does not limit
+// the attempts there: with fewer in flight the non-owner expects no wait, because the
+// queue of the backend server has room for a few more requests.
 const nonOwnerShare = 1
 
 func (b *Balancer[E, D, P, L]) shareOf(listed descriptor.Backend) int {
@@ -158,7 +160,8 @@
 	return -1
 }
 
-// dropRetainedShare gives up the share of a former owner when its time is over.
+// dropRetainedShare drops the share of a former owner after shareRetention and refuses
+// its queued requests.
 func (b *Balancer[E, D, P, L]) dropRetainedShare() {
 	if b.shareRetainedUntil.IsZero() || b.now.Before(b.shareRetainedUntil) {
 		return
@@ -176,7 +179,7 @@
 		_, s := b.backends.At(i)
 		b.backends.SetAt(i, s.WithShare(b.shareOf(s.listed)))
 	}
-	b.forgetPeers()
+	b.deleteFormerOwners()
 	b.refresh()
 }
 
@@ -229,7 +232,7 @@
 	}
 }
 
-// HandleDrain handles a drain that was announced to another owner.
+// HandleDrain handles a drain reported by another owner.
 func (b *Balancer[E, D, P, L]) HandleDrain(now time.Time, m descriptor.Drain) {
 	b.advance(now)
 	p := b.backends.Position(m.Backend)
--- a/balancer/outcome.go
+++ b/balancer/outcome.go
@@ -171,7 +171,8 @@
 }
 
 // updateOtherWork computes the mean number of requests that other instances have at a
-// backend server in use. It stands in for backend servers without a recent report.
+// backend server in use, which is assumed for those without a recent report. It also
+// updates whether the service is crowded.
 func (b *Balancer[E, D, P, L]) updateOtherWork() {
 	if !b.options.PooledOutcomes {
 		return
@@ -216,6 +217,8 @@
 			continue
 		}
 		_, s := b.backends.At(p)
+		// The reported work was sent earlier: by about outcomesInterval for the report
+		// and defaultServiceTime for the work itself.
 		s = s.WithUse(now.Add(-outcomesInterval - defaultServiceTime))
 		if o.Reported && o.Age >= 0 {
 			s = s.WithWork(o.Work, now.Add(-time.Duration(o.Age)*time.Millisecond))
--- a/balancer/place.go
+++ b/balancer/place.go
@@ -12,7 +12,7 @@
 // request.
 const (
 	// healthyThreshold is the probability of serving a request from which a backend
-	// server gets any work.
+	// server gets work without restrictions.
 	healthyThreshold = 0.55
 	// healthyWaitRatio is the part of its spare time, target minus typical service
 	// time, that a request waits for a backend server at healthyThreshold.
@@ -24,8 +24,9 @@
 	localBonus        = 0.03
 	localBonusPerByte = 0.2 / 60e3
 	maxLocalBonus     = 0.2
-	// reuseBonus adds to the score of a backend server to which a connection is open.
-	// A connection counts as open for reuseTime after work was sent there.
+	// reuseBonus adds to the score of a backend server to which a connection is open
+	// that any work may use. A connection counts as such for reuseTime after work was
+	// sent there.
 	reuseBonus = 0.02
 	reuseTime  = 4 * time.Second
 	// retryCost is the cost of a failure of work that can be retried, as a part of
@@ -35,16 +36,18 @@
 	// to the suspected backend server with the oldest estimate.
 	requestsPerCanary = 16
 	// nonOwnerRequestsPerCanary is that number at non-owners, which have few requests
-	// and get no outcomes from other instances that would clear a suspicion.
+	// and get suspicion lists but no outcomes from other instances.
 	nonOwnerRequestsPerCanary = 3
-	// minCanaryBudget is the retry budget below which an owner sends no canary and
-	// counts a failure of idempotent work in full. Non-owners send canaries from 1 on.
+	// minCanaryBudget is the number of retries left below which an owner sends no
+	// canary and any instance counts a failure of idempotent work in full. Non-owners
+	// can save only 1 retry, so they send canaries from 1 on.
 	minCanaryBudget = 2
 )
 
 // pickPooled returns the position of a backend server for r by pooled estimates and
-// load, or -1 if r is to wait. Non-idempotent work waits a while for a healthy
-// backend server before it goes to a suspected one.
+// load, or -1 if r is to wait. Except for canaries, spread work and requests with an
+// attempt that did not run, r waits a while for a healthy backend server before it goes
+// to a suspected one.
 func (b *Balancer[E, D, P, L]) pickPooled(r request) int {
 	positions := b.untried(r)
 	if len(positions) == 0 {
@@ -64,7 +67,8 @@
 }
 
 // untried returns the positions of the backend servers with a free slot that r was
-// not sent to. Those that are avoided are returned only if there are no others.
+// not sent to. Those that are avoided or on trial are returned only if there are no
+// others.
 func (b *Balancer[E, D, P, L]) untried(r request) []int {
 	b.scratch = b.scratch[:0]
 	for _, set := range b.freeSets() {
@@ -201,8 +205,8 @@
 }
 
 // reportsFull reports whether a backend server that refused work had no free slot by
-// its own report. An unknown load counts as full. A refusal
-// with free slots is a sign of a fault.
+// its own report. An unknown load counts as full. A refusal with free slots is a sign
+// of a fault.
 func reportsFull(l descriptor.Load) bool {
 	return !l.Known || l.Running >= l.Slots
 }
--- a/balancer/poison.go
+++ b/balancer/poison.go
@@ -78,7 +78,7 @@
 	c = c.WithBackend(id, b.now)
 	b.crashes.Put(fingerprint, c)
 	if c.count >= crashLimit {
-		b.note(descriptor.NotePoison, id, "request refused from now on")
+		b.note(descriptor.NotePoison, id, "requests with this fingerprint are refused for 10 min")
 	}
 }
 
--- a/balancer/request.go
+++ b/balancer/request.go
@@ -7,7 +7,8 @@
 	"monsoonswitch/retrier"
 )
 
-// maxOpenAttempts is the number of attempts of one request that may be open at once.
+// maxOpenAttempts is the number of attempts of one request that may be open at the same
+// time.
 const maxOpenAttempts = 2
 
 // attempt is one attempt to serve a request at a backend server.
--- a/balancer/routed_test.go
+++ b/balancer/routed_test.go
@@ -460,9 +460,9 @@
 }
 
 // TestConnectionsBrokenTogether breaks the connections of several requests at one
-// backend server at once. They are one failure of that server, but each request must
-// count in the share of failures, here and at the instance that receives the
-// outcomes.
+// backend server at the same time. They are one failure of that server, but each
+// request must count in the share of failures, at this instance and at the one that
+// receives the outcomes.
 func TestConnectionsBrokenTogether(t *testing.T) {
 	members := []descriptor.Member{{ID: "entry-0"}, {ID: "entry-1"}}
 	var instances []*pooledBalancer
@@ -572,9 +572,9 @@
 	}
 }
 
-// TestFloorWhileFailing loses answers of many backend servers at once while few are
-// in use. Most of the healthy ones must have work while the share of failures is
-// high.
+// TestFloorWhileFailing loses answers of many backend servers at the same time while
+// few are in use. Most of the healthy ones must have work while the share of failures
+// is high.
 func TestFloorWhileFailing(t *testing.T) {
 	cases := []struct {
 		name string
--- a/balancer/share.go
+++ b/balancer/share.go
@@ -11,7 +11,7 @@
 	// evidenceInterval is the minimum time between evidence messages.
 	evidenceInterval = 200 * time.Millisecond
 	// fullEvidenceInterval is the time between evidence messages when nothing is
-	// urgent.
+	// urgent, and the least width of a window of observations.
 	fullEvidenceInterval = 3 * time.Second
 	// slotDemandInterval is the minimum time between requests for slots.
 	slotDemandInterval = 100 * time.Millisecond
@@ -19,12 +19,13 @@
 	slotLeaseTime = time.Second
 	// slotLeaseGrace is how much longer the lessor keeps the slot unused.
 	slotLeaseGrace = 250 * time.Millisecond
-	// minReportedScore is the smallest score that is reported.
+	// minReportedScore is the smallest score that is reported for a backend server
+	// without recent observations.
 	minReportedScore = 0.5
 )
 
-// publish sends the other owners the outcomes, evidence and slot requests of this
-// instance.
+// publish sends the outcomes of this instance if outcomes are pooled. Otherwise an
+// owner sends the other owners its evidence and its requests for slots.
 func (b *Balancer[E, D, P, L]) publish() {
 	if b.options.PooledOutcomes {
 		b.publishOutcomes()
@@ -86,8 +87,8 @@
 	b.sendToOwners(descriptor.SlotDemand{Service: b.service.Name, Slots: min(b.queued, b.slots+1)})
 }
 
-// HandleSlotDemand leases out at most half of the free slots to another owner, if no
-// work is queued here.
+// HandleSlotDemand leases out at most half of the free slots of this instance to
+// another owner, if this instance has no queued work.
 func (b *Balancer[E, D, P, L]) HandleSlotDemand(now time.Time, from descriptor.Member, m descriptor.SlotDemand) {
 	b.advance(now)
 	if b.queued > 0 || b.position < 0 {
--- a/balancer/spread.go
+++ b/balancer/spread.go
@@ -18,9 +18,10 @@
 	usedRatio             = 0.74
 	usedRatioHighFailures = 1
 	failureExclusion      = 2 * time.Second
-	// minRepeatableShare is the share of idempotent work from which it alone is used
-	// to check suspected backend servers. repeatableShareWeight is the weight of one
-	// request in the moving average of that share.
+	// minRepeatableShare is the share of work that may run twice from which it alone
+	// is used to check suspected backend servers, unless failures are elevated.
+	// repeatableShareWeight is the weight of one request in the moving average of that
+	// share.
 	minRepeatableShare    = 0.3
 	repeatableShareWeight = 0.03
 	// spreadInterval is the time without work after which a backend server is overdue
@@ -47,7 +48,7 @@
 		return 0
 	}
 	if !b.repeatable(r) && b.repeatableShare >= minRepeatableShare && !b.recentOutcomes.failuresElevated() {
-		// Idempotent work checks s at a lower cost.
+		// Work that may run twice checks s at a lower cost.
 		return 0
 	}
 	return spreadBonus
--- a/balancer/tick.go
+++ b/balancer/tick.go
@@ -100,8 +100,9 @@
 	}
 }
 
-// updateOverdueScores recomputes the scores of overdue open requests by backend
-// server.
+// updateOverdueScores recomputes the score that overdue open requests add to each
+// backend server. If outcomes are pooled, it also counts attempts that run far too
+// long as failures.
 func (b *Balancer[E, D, P, L]) updateOverdueScores() {
 	for i := range b.backends.Len() {
 		_, s := b.backends.At(i)
--- a/limiter/limiter.go
+++ b/limiter/limiter.go
@@ -5,7 +5,7 @@
 
 import "time"
 
-// QueueState describes the queue of one class of work.
+// QueueState describes the queue of one class of work for a new request of that class.
 type QueueState struct {
 	// Target is the declared target latency of the class.
 	Target time.Duration
@@ -13,12 +13,12 @@
 	Typical time.Duration
 	// Oldest is how long the oldest queued request has waited.
 	Oldest time.Duration
-	// Ahead is the number of queued requests that start before a new one, and
-	// InFlight the number of requests that run.
+	// Ahead is the number of queued requests of all classes that start before a new
+	// one, and InFlight the number of open attempts of all classes.
 	Ahead, InFlight int
 }
 
-// Policy decides the order of queued requests, their longest wait and the slots
+// Policy decides the order of queued requests, their maximum wait and the slots
 // of long requests.
 type Policy interface {
 	// MaxWait returns how long a request may wait before it is refused.
@@ -42,8 +42,8 @@
 const (
 	// minWaitShare is the least share of the target that a request may wait.
 	minWaitShare = 0.25
-	// overloadShare is the share of its longest wait after which the oldest
-	// request shows that the queue does not drain.
+	// overloadShare is a share of MaxWait. A queue whose oldest request has waited
+	// longer is taken not to drain.
 	overloadShare = 0.5
 	// longMaxShare is the share of slots that long requests may hold.
 	longMaxShare = 0.34
@@ -90,18 +90,18 @@
 
 // Parameters of Bounded.
 const (
-	// maxExpectedWaitShare is the share of its longest wait that a request may be
-	// expected to wait at its arrival.
+	// maxExpectedWaitShare is the share of MaxWait that a request may be expected to
+	// wait at its arrival.
 	maxExpectedWaitShare = 0.45
 	// meanToMedian is the ratio of the mean to the median service time, since
 	// service times have a long tail.
 	meanToMedian = 1.3
 )
 
-// Bounded refuses a request at once if the requests ahead of it are expected to
-// take so long that it could not be answered within its target. It suits peak
-// loads above the capacity of the backend servers: admitted requests are served
-// in time, and the others are refused without a wait.
+// Bounded refuses a request at once if its expected wait exceeds
+// maxExpectedWaitShare of its maximum wait. It suits peak loads above the capacity of
+// the backend servers: admitted requests are served in time, and the others are
+// refused without a wait.
 type Bounded struct{ Adaptive }
 
 // Admits implements Policy.
--- a/picker/picker.go
+++ b/picker/picker.go
@@ -5,10 +5,11 @@
 type Candidate struct {
 	// Position identifies the candidate to the caller of Pick.
 	Position int
-	// InFlight is the number of requests of this instance that are open there; it
-	// is below Share.
+	// InFlight is the number of open attempts of this instance at the backend server.
+	// It can reach or exceed Share while slots are leased from other instances.
 	InFlight int
-	// Share is the number of slots that this instance may use; it is positive.
+	// Share is the number of slots assigned to this instance, without leased ones, or
+	// all slots if they are not divided among instances. It is at least 1.
 	Share int
 	// ServeProbability is the estimated probability that the backend server serves the
 	// request, from 0 to 1.
--- a/retrier/budget.go
+++ b/retrier/budget.go
@@ -26,9 +26,10 @@
 	Window time.Duration
 }
 
-// Shares of the bounds that are used. The rest is a margin for instances that do
-// not know of each other, and for requests that fall into different windows at
-// different observers.
+// Shares of the bounds that are used: usedRatioShare of Ratio, and of Extra
+// usedBurstShare as saved retries and usedRefillShare as retries earned in each Window,
+// by all instances together. The rest is a margin for instances that do not know of each
+// other, and for requests that fall into different windows at different observers.
 const (
 	usedRatioShare  = 0.9
 	usedBurstShare  = 0.25
@@ -70,8 +71,8 @@
 type Budget struct {
 	// Left is the number of retries left, from 0 to the limit of the terms.
 	Left float64
-	// At is the time as of which Left holds; zero means that no time has been
-	// counted.
+	// At is the time until which PerSecond is included in Left. It is zero before the
+	// first call of WithTime.
 	At time.Time
 }
 
