--- a/linker/link.go
+++ b/linker/link.go
@@ -31,9 +31,9 @@
 
 // link is one WebSocket connection to an instance.
 type link struct {
-	owner *Linker
-	conn  *websocket.Conn
-	peer  descriptor.Member
+	linker *Linker
+	conn   *websocket.Conn
+	peer   descriptor.Member
 	// dialed reports whether this instance opened the link.
 	dialed   bool
 	outgoing chan descriptor.Message
@@ -58,7 +58,7 @@
 	select {
 	case k.outgoing <- m:
 	default:
-		k.owner.countDropped()
+		k.linker.countDropped()
 		k.close()
 	}
 }
@@ -145,7 +145,7 @@
 func (l *Linker) start(conn *websocket.Conn, peer descriptor.Member, dialed bool) {
 	ctx, cancel := context.WithCancel(l.ctx)
 	k := &link{
-		owner:    l,
+		linker:   l,
 		conn:     conn,
 		peer:     peer,
 		dialed:   dialed,
@@ -170,7 +170,7 @@
 	k.once.Do(func() {
 		k.cancel()
 		_ = k.conn.CloseNow()
-		k.owner.remove(k)
+		k.linker.remove(k)
 	})
 }
 
@@ -179,7 +179,7 @@
 		select {
 		case m := <-k.outgoing:
 			ctx, cancel := context.WithTimeout(k.ctx, writeTimeout)
-			err := k.owner.write(ctx, k.conn, m)
+			err := k.linker.write(ctx, k.conn, m)
 			cancel()
 			if err != nil {
 				return
@@ -193,18 +193,18 @@
 func (k *link) readLoop() {
 	for {
 		ctx, cancel := context.WithTimeout(k.ctx, silenceTimeout)
-		m, err := k.owner.read(ctx, k.conn)
+		m, err := k.linker.read(ctx, k.conn)
 		cancel()
 		if errors.Is(err, messenger.ErrUnknownType) {
 			continue
 		}
 		if err != nil {
 			if errors.Is(err, messenger.ErrMalformed) {
-				k.owner.options.Reject(k.peer.ID, err)
+				k.linker.options.Reject(k.peer.ID, err)
 			}
 			return
 		}
-		k.owner.poster.Post(descriptor.Received{At: time.Now(), From: k.peer.ID, Message: m})
+		k.linker.poster.Post(descriptor.Received{At: time.Now(), From: k.peer.ID, Message: m})
 	}
 }
 
--- a/linker/order_test.go
+++ b/linker/order_test.go
@@ -41,8 +41,8 @@
 func TestOrderOfLinks(t *testing.T) {
 	s := &slowPoster{closing: make(chan struct{}), opened: make(chan struct{})}
 	l := &Linker{poster: s, links: make(map[string][]*link), queued: make(map[string][]descriptor.Message)}
-	older := &link{owner: l, peer: descriptor.Member{ID: "peer"}}
-	newer := &link{owner: l, peer: descriptor.Member{ID: "peer"}}
+	older := &link{linker: l, peer: descriptor.Member{ID: "peer"}}
+	newer := &link{linker: l, peer: descriptor.Member{ID: "peer"}}
 	l.links["peer"] = []*link{older}
 	go l.remove(older)
 	<-s.closing
