--- a/assembler/assembler.go
+++ b/assembler/assembler.go
@@ -246,8 +246,8 @@
 	return eris.Wrapf(ErrStart, "not ready after %v", startTimeout)
 }
 
-// ready reports whether every instance is ready, knows all others as ready and has
-// two documents for each service.
+// ready reports whether every instance is ready, knows all others as ready and has at
+// least two documents for each service: its declaration and its list of backend servers.
 func (f *Fleet) ready() bool {
 	for _, s := range f.Servers() {
 		d, ok := s.Dump()
--- a/assembler/proxy.go
+++ b/assembler/proxy.go
@@ -36,8 +36,9 @@
 	p.Upstream = address
 }
 
-// Cut blocks one direction of the links that the i-th instance accepted, while the
-// other direction keeps working. It returns an error if the fleet is not proxied.
+// Cut blocks one direction of the links that an instance accepted, while the other
+// direction keeps working. i counts the instances in the order of their start from 0,
+// including stopped ones. It returns an error if there is no proxy for i.
 func (f *Fleet) Cut(i int, d Direction) error {
 	p, ok := f.proxyAt(i)
 	if !ok {
@@ -48,7 +49,7 @@
 	return eris.Wrap(err, "cut link")
 }
 
-// Heal restores the links of the i-th instance after Cut.
+// Heal restores the links after Cut with the same i.
 func (f *Fleet) Heal(i int) {
 	if p, ok := f.proxyAt(i); ok {
 		p.Toxics.ResetToxics(context.Background())
--- a/caller/caller.go
+++ b/caller/caller.go
@@ -300,8 +300,8 @@
 		r.Header.Set("Caller", w.Name)
 	}
 	if result.Key != "" {
-		// The key is in lower case because net/http repeats a request with the
-		// canonical Idempotency-Key header by itself.
+		// The key is in lower case because net/http resends a request with the canonical
+		// Idempotency-Key header by itself when a reused connection breaks.
 		r.Header["idempotency-key"] = []string{result.Key}
 	}
 	if w.Timeout > 0 {
--- a/commander/capacity.go
+++ b/commander/capacity.go
@@ -16,7 +16,7 @@
 const pageFileMode = 0o644
 
 // capacityCommand measures how the cost of control work grows with the fleet and
-// writes a page with the computed capacity of each role.
+// writes a page with the computed cost of each role at the target size.
 type capacityCommand struct {
 	path  string
 	quick bool
--- a/experimenter/experiment.go
+++ b/experimenter/experiment.go
@@ -22,8 +22,8 @@
 	Callers int
 	// Timeout is how long callers wait for an answer; 0 means without limit.
 	Timeout time.Duration
-	// PeakFactor multiplies the rate from PeakFrom to PeakTo, and periodically
-	// after each PeakEvery if that is not 0.
+	// PeakFactor multiplies the rate from PeakFrom to PeakTo. The peak repeats with the
+	// period PeakEvery; 0 means that it does not repeat.
 	PeakFactor       float64
 	PeakFrom, PeakTo time.Duration
 	PeakEvery        time.Duration
--- a/forwarder/attempt.go
+++ b/forwarder/attempt.go
@@ -172,7 +172,8 @@
 	}
 }
 
-// fail posts a failed attempt, unless the attempt was cancelled.
+// fail posts a failed attempt, unless the attempt was cancelled for another reason than a
+// broken connection.
 func (t *attempt) fail(err error) {
 	if t.ctx.Err() != nil && !t.connectionBroke.Load() {
 		return
--- a/forwarder/header.go
+++ b/forwarder/header.go
@@ -78,8 +78,8 @@
 }
 
 // lowercaseKeyNames writes the names of idempotency key headers in lower case. Backend
-// servers treat them alike, but net/http resends a request by itself if it finds the
-// canonical spelling.
+// servers treat them alike, but net/http takes the canonical spelling as permission to
+// resend a request by itself when a reused connection breaks.
 func lowercaseKeyNames(h http.Header) {
 	for _, name := range []string{headerKey, "X-Idempotency-Key"} {
 		if values, ok := h[name]; ok {
@@ -102,7 +102,8 @@
 }
 
 // callerTimeout returns how long the caller waits, from Prefer: wait=SECONDS (RFC 7240)
-// or from Request-Timeout in seconds. Zero means that it is unspecified or invalid.
+// or else from Request-Timeout in seconds. Zero means that it is unspecified, invalid or
+// longer than maxCallerTimeout.
 func callerTimeout(r *http.Request) time.Duration {
 	text := r.Header.Get(headerTimeout)
 	for _, line := range r.Header.Values(headerPrefer) {
@@ -119,7 +120,8 @@
 	return time.Duration(seconds * float64(time.Second))
 }
 
-// maxCallerTimeout is the longest caller timeout that is accepted.
+// maxCallerTimeout is the longest caller timeout that is used. A longer one is ignored, as
+// if the caller had specified none.
 const maxCallerTimeout = 24 * time.Hour
 
 // wholeSeconds formats a duration in whole seconds, rounded up.
--- a/forwarder/session.go
+++ b/forwarder/session.go
@@ -70,9 +70,9 @@
 }
 
 // locateRoute finds the route of the request by host and path. An unknown route may be
-// new, so the request waits up to routeUpdateWait. It is refused as an unknown route
-// only once the directory reflects a state of the platform's store that is newer than
-// the request.
+// new, so it is refused as unknown only once the directory reflects a state of the
+// platform's store that is newer than the request. After a wait of routeUpdateWait the
+// request is refused with the reason Starting.
 func (s *session) locateRoute(d *snapshot) (descriptor.Reason, bool) {
 	timer := time.NewTimer(routeUpdateWait)
 	defer timer.Stop()
@@ -194,7 +194,8 @@
 	return hostOf(s.r.RemoteAddr)
 }
 
-// fingerprint returns a hash that is equal for identical requests of one caller.
+// fingerprint returns a hash of the service, method, URI, content length and caller. It is
+// equal for repeated requests of one caller; the body is not part of it.
 func (s *session) fingerprint() uint64 {
 	h := xxhash.New()
 	for _, part := range []string{s.service, s.r.Method, s.r.URL.RequestURI(), s.r.Header.Get("Content-Length"), s.caller()} {
@@ -224,8 +225,8 @@
 	return false
 }
 
-// dispatch starts an attempt. The attempt is not cancelled when the caller disconnects;
-// only the control goroutine cancels it.
+// dispatch starts an attempt. The attempt is not cancelled when the caller disconnects,
+// because the control goroutine decides whether it ends early.
 func (s *session) dispatch(a descriptor.Dispatch) {
 	ctx, cancel := context.WithCancel(context.WithoutCancel(s.r.Context()))
 	t := &attempt{session: s, id: a.Attempt, backend: a.Backend, ctx: ctx, cancel: cancel}
--- a/imitator/backend.go
+++ b/imitator/backend.go
@@ -48,8 +48,9 @@
 	// Begun and Done count requests that started and that completed.
 	Begun uint64 `json:"begun"`
 	Done  uint64 `json:"done"`
-	// Shed counts refused requests, and Cancelled those that started but did
-	// not complete.
+	// Shed counts refused requests. Cancelled counts those that started and ended because
+	// the request was cancelled, its body broke or another request crashed the backend
+	// server. Crashing requests and truncated answers are in neither Done nor Cancelled.
 	Shed      uint64 `json:"shed"`
 	Cancelled uint64 `json:"cancelled"`
 	Crashes   uint64 `json:"crashes"`
--- a/imitator/backend_server.go
+++ b/imitator/backend_server.go
@@ -128,7 +128,8 @@
 	}
 }
 
-// stallPollInterval is the time between checks whether a stall has ended.
+// stallPollInterval is the time between checks whether a stall has ended, and between
+// tries to listen again after a crash.
 const stallPollInterval = 50 * time.Millisecond
 
 // answer writes the response, or the one that the current fault demands.
--- a/linker/linker.go
+++ b/linker/linker.go
@@ -26,17 +26,21 @@
 const (
 	// maintainInterval is the time between checks for links to open or close.
 	maintainInterval = 250 * time.Millisecond
-	// redialDelay is the least time between two dials of an address.
+	// redialDelay is the least time after a background dial of an address before it is
+	// dialed again for a wanted instance. While there is no link, seeds are dialed after
+	// half of it.
 	redialDelay = time.Second
 	// dialRecordTime is how long the time of a dial is kept.
 	dialRecordTime = time.Minute
 	// dialTimeout bounds the time for opening a link.
 	dialTimeout = 2 * time.Second
-	// seedInterval sets the time between dials of a seed while there are links: a random
-	// time of a half to one and a half of it. These dials reconnect the parts of a fleet
-	// after a network partition.
+	// seedInterval sets the time between dials of a seed while there are links, which
+	// reconnect the parts of a fleet after a network partition. The time is random, from
+	// half to one and a half of seedInterval, and mostly in the lower half of this range
+	// because it is drawn anew at each check.
 	seedInterval = 15 * time.Second
-	// maxIdleTime is how long an unused link is kept that is not wanted.
+	// maxIdleTime is the time without messages other than heartbeats and digests after
+	// which an instance closes a link that it dialed and no longer wants.
 	maxIdleTime = 30 * time.Second
 )
 
@@ -54,7 +58,9 @@
 	Key string
 	// Seeds are the inner addresses of instances to join the fleet through.
 	Seeds []string
-	// Reject is called with the cause for each link that was refused or failed to open.
+	// Reject is called with the cause for each link that was refused, could not be opened
+	// in the background, or was closed because of a malformed frame. Failed dials by Send
+	// are not reported.
 	Reject func(peer string, err error)
 }
 
@@ -74,11 +80,12 @@
 	links map[string][]*link
 	// wanted holds the instances to keep links to, by ID.
 	wanted map[string]descriptor.Member
-	// dialed holds when each address was last dialed.
+	// dialed holds when each address was last dialed in the background.
 	dialed map[string]time.Time
 	// queued holds the messages for instances that are being dialed, by ID.
 	queued map[string][]descriptor.Message
-	// lastSeedDial is when a seed was last chosen.
+	// lastSeedDial is when a seed was last chosen to be dialed, including one that was not
+	// dialed because it is this instance or already linked.
 	lastSeedDial time.Time
 	traffic      Traffic
 }
@@ -87,7 +94,8 @@
 type Traffic struct {
 	SentBytes, SentMessages         uint64
 	ReceivedBytes, ReceivedMessages uint64
-	// Dropped is the number of messages that were not sent.
+	// Dropped counts the messages that were dropped because a queue was full or a link
+	// could not be opened. It omits those still queued on a link that closed.
 	Dropped uint64
 }
 
--- a/loader/fault.go
+++ b/loader/fault.go
@@ -8,8 +8,8 @@
 	"monsoonswitch/imitator"
 )
 
-// inject applies one fault from f.From until f.To, both relative to the start of
-// the scenario.
+// inject applies one fault from f.From until f.To, both relative to the start of the
+// scenario. FaultReplace ends when all instances are replaced.
 func (r *Runner) inject(ctx context.Context, f Fault) {
 	if !sleepUntil(ctx, r.started.Add(f.From)) {
 		return
--- a/loader/record.go
+++ b/loader/record.go
@@ -24,8 +24,8 @@
 	tries                                                   uint64
 	reasons                                                 map[string]uint64
 	latency                                                 *hdrhistogram.Histogram
-	// lateRefusals counts requests refused as overloaded after their class's
-	// target.
+	// lateRefusals counts requests that were sent once and refused as overloaded later
+	// than their class's target plus lateRefusalTolerance.
 	lateRefusals uint64
 	// corrupt counts answers that were truncated or belonged to another request.
 	corrupt uint64
--- a/loader/result.go
+++ b/loader/result.go
@@ -200,9 +200,9 @@
 // cause before the fleet has to refuse it.
 const maxCrashes = 2
 
-// verifyTallies compares the fleet's own tallies with the callers' counts. It does
-// so only if every request got an answer and none was poison, since otherwise the
-// two legitimately differ.
+// verifyTallies compares the fleet's own tallies with the callers' counts. It does so
+// only if no request is unknown (without an answer, or answered with a status of 5xx)
+// and none was poison, since otherwise the two may differ without a fault.
 func (r *Runner) verifyTallies(result *Result) {
 	var served uint64
 	for _, s := range r.deployment.services {
--- a/loader/run.go
+++ b/loader/run.go
@@ -48,8 +48,9 @@
 	return runWith(ctx, s, d, f, progress)
 }
 
-// RunRemote runs a scenario with a fleet of other processes and writes its
-// progress. It returns an error if the platform lists no backend servers.
+// RunRemote runs a scenario with a fleet of other processes and writes its progress. It
+// returns an error if the platform does not answer or lists no backend servers, or if a
+// has no instance addresses.
 func RunRemote(ctx context.Context, s Scenario, a Remote, progress io.Writer) (Result, error) {
 	d, err := deploymentOf(s.Deployment)
 	if err != nil {
--- a/logger/request.go
+++ b/logger/request.go
@@ -46,8 +46,9 @@
 	omittedSince            time.Time
 }
 
-// admit reports whether a request is logged. If a report of omitted requests is due, it
-// also returns and resets their counts; otherwise the counts are 0.
+// admit reports whether a request is logged. If requests were omitted and
+// omittedReportInterval has passed since the last report of them, it also returns and
+// resets their counts; otherwise the counts are 0.
 func (b *requestBudget) admit(now time.Time, notable bool) (admitted bool, omitted, omittedNotable uint64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/operator/operator.go
+++ b/operator/operator.go
@@ -56,7 +56,8 @@
 type InForce struct {
 	Service  string `json:"service"`
 	Revision uint64 `json:"revision"`
-	// Serving reports whether the instance serves the service.
+	// Serving reports whether the instance handles requests of the service, as an owner
+	// or a non-owner of its slots.
 	Serving bool `json:"serving"`
 	// Seconds is the time from the acceptance of the revision by the store until it was
 	// in force at this instance; 0 means that it is unknown.
--- a/recorder/recorder.go
+++ b/recorder/recorder.go
@@ -81,7 +81,8 @@
 // Attempt counts an attempt at a backend server.
 func (r *Recorder) Attempt() { r.attempts.Inc(1) }
 
-// Fault counts a failed attempt.
+// Fault counts an attempt that failed without a complete answer. Attempts that a backend
+// server refused, or whose answer is foreign or mismatched, are not counted.
 func (r *Recorder) Fault() { r.faults.Inc(1) }
 
 // quantiles are the written quantiles of the latency of served requests.
--- a/reporter/reporter.go
+++ b/reporter/reporter.go
@@ -26,7 +26,7 @@
 const tallyDelay = 3 * time.Second
 
 // vanishAge returns the age of an incarnation's last tally from which on it counts as
-// vanished, unless the tally is final.
+// vanished, unless the tally is final and has no open requests.
 func vanishAge(t descriptor.Tally) time.Duration { return 2*t.Every + 2*tallyDelay }
 
 // Row counts the requests of one class that ended with the same reason and outcome.
@@ -51,15 +51,15 @@
 	// Final reports whether the counts are complete.
 	Final bool `json:"final"`
 	// Vanished reports whether the incarnation stopped reporting without a final
-	// tally.
+	// tally that has no open requests.
 	Vanished bool `json:"vanished"`
-	// Uncertain bounds the number of requests missing from its counts: those open
+	// Uncertain estimates the number of requests missing from its counts: those open
 	// at its last tally and those that it may have received since.
 	Uncertain uint64 `json:"uncertain"`
 }
 
-// Revision holds the times at which the first and the last instance put a revision
-// in force, and the number of instances that did.
+// Revision holds the times at which the first and the last instance incarnation put a
+// revision in force, and the number of incarnations that did.
 type Revision struct {
 	Revision  uint64    `json:"revision"`
 	First     time.Time `json:"first"`
@@ -211,10 +211,10 @@
 	}
 }
 
-// incarnationOf returns the counts of one incarnation. A vanished one may have
-// received requests since its last tally. Their number is bounded by twice its mean
+// incarnationOf returns the counts of one incarnation. The number of requests that a
+// vanished one may have received since its last tally is estimated as twice its mean
 // rate over the longest time between two tallies, since the rate may have been above
-// the mean.
+// the mean. An incarnation without any request never counts as vanished.
 func incarnationOf(t descriptor.Tally, now time.Time) Incarnation {
 	i := Incarnation{
 		Instance:    t.Instance,
--- a/reporter/reporter_test.go
+++ b/reporter/reporter_test.go
@@ -50,7 +50,7 @@
 		asserter.Equal(t, "refused", r.Refused, uint64(2))
 		asserter.Equal(t, "sealed", r.Sealed, true)
 	})
-	t.Run("a vanished incarnation is listed with a bound on its missing requests", func(t *testing.T) {
+	t.Run("a vanished incarnation is listed with an estimate of its missing requests", func(t *testing.T) {
 		b := counterWith("b", 100, 0)
 		b.Receive(began, "billing")
 		r := Build(service, 9, []descriptor.Tally{tallyAt(b, 50*time.Second)}, began.Add(time.Hour))
--- a/storer/client.go
+++ b/storer/client.go
@@ -42,9 +42,9 @@
 const (
 	// MaxValue bounds a value in bytes.
 	MaxValue = 1 << 20
-	// maxAnswerBytes bounds an answer with many values.
+	// maxAnswerBytes bounds every answer in bytes, with room for many values.
 	maxAnswerBytes = 256 << 20
-	// callTimeout bounds a call, in addition to the time for which a watch waits.
+	// callTimeout bounds a call. A watch is bounded by its wait plus callTimeout.
 	callTimeout = 5 * time.Second
 	// clientName is the name of the client in go-zero.
 	clientName = "monsoonswitch-platform"
@@ -98,8 +98,9 @@
 	// ErrCompacted if some of the changes are no longer stored.
 	Watch(ctx context.Context, prefix string, after uint64, wait time.Duration) (Page, error)
 	// Put writes a value if the key has the expected revision; 0 means that the key must
-	// not exist. If lease is positive, the value is removed after that time. With
-	// ErrConflict, Put returns the current item.
+	// not exist. If lease is positive, the value is removed after that time, or earlier
+	// if the store grants shorter leases only. With ErrConflict, Put returns the current
+	// item.
 	Put(ctx context.Context, key string, value []byte, expect uint64, lease time.Duration) (Item, error)
 }
 
--- a/storer/follower.go
+++ b/storer/follower.go
@@ -35,8 +35,9 @@
 
 // Reporter receives reports about the platform.
 type Reporter interface {
-	// ReachabilityChanged is called with the first failed call after a successful one,
-	// and with the first successful call after a failed one. err is nil if ok is true.
+	// ReachabilityChanged is called after the first failed call, at the start or after a
+	// successful one, and after the first successful call that follows a failed one. err
+	// is nil if ok is true. ErrCompacted does not count as a failure.
 	ReachabilityChanged(source string, ok bool, err error)
 	// BadDocument is called for each document that can't be decoded.
 	BadDocument(key string, err error)
--- a/storer/writer.go
+++ b/storer/writer.go
@@ -18,7 +18,7 @@
 	writeWorkers = 4
 	// writeQueueLength is the number of writes that may be queued.
 	writeQueueLength = 256
-	// claimLease is how long the claim of an idempotency key is stored.
+	// claimLease is the requested lease of the claim of an idempotency key.
 	claimLease = 24 * time.Hour
 )
 
