--- a/commander/status.go
+++ b/commander/status.go
@@ -18,7 +18,7 @@
 
 // errUnreachable reports an instance or a stand-in that does not answer, or answers
 // with an error.
-var errUnreachable = eris.New("no valid answer")
+var errUnreachable = eris.New("instance does not answer")
 
 // statusCommand prints the revisions in force at instances.
 type statusCommand struct{ addresses []string }
