--- a/allocator/index.go
+++ b/allocator/index.go
@@ -135,8 +135,8 @@
 
 // mayEnter reports whether a new member may become one of the serving instances.
 // Its place within its failure domain must fall into a round before the last one,
-// or into the last one ahead of a failure domain that has an instance in that
-// round.
+// or into the last one if it displaces an instance there: one of its own failure
+// domain, or one of a failure domain that comes after it.
 func mayEnter(service string, r serviceRecord, m descriptor.Member) bool {
 	if len(r.serving) < r.count {
 		return true
--- a/container/generation.go
+++ b/container/generation.go
@@ -29,7 +29,8 @@
 	return v, ok
 }
 
-// Put stores v under k and reports whether a generation was dropped for it.
+// Put stores v under k and reports whether it began a new generation. That drops
+// the previous one, which is empty the first time.
 func (g *Generations[K, V]) Put(k K, v V) bool {
 	delete(g.previous, k)
 	if _, ok := g.current[k]; !ok && len(g.current) >= g.limit {
--- a/decider/leave.go
+++ b/decider/leave.go
@@ -24,7 +24,8 @@
 type shutdownState struct {
 	started bool
 	at      time.Time
-	// idleAt is when the last request ended; zero while requests are open.
+	// idleAt is the first time after redirectTime at which no request was open or
+	// waiting, or zero. tallyTimeout runs from it.
 	idleAt time.Time
 	// handedOver reports whether the idempotency keys were handed over, at
 	// handedOverAt.
@@ -45,8 +46,9 @@
 }
 
 // advanceShutdown takes the next step of a shutdown when it is possible: finish
-// every request, have the last tallies confirmed, hand the keys over, and leave
-// once the last messages had time to be sent.
+// every request, have the last tallies confirmed, hand the keys over and publish
+// that this instance left. It reports completion once the last messages had time to
+// be sent.
 func (d *Decider[E, D, P, L]) advanceShutdown() {
 	s := &d.shutdown
 	if !s.started || s.done {
@@ -54,7 +56,8 @@
 	}
 	if d.options.Grace > 0 && d.now.Sub(s.at) >= time.Duration(usableGraceShare*float64(d.options.Grace)) {
 		// The platform is about to kill the process, which ends all open
-		// requests.
+		// requests. Tallies that are not confirmed and keys that are not handed
+		// over by now are lost.
 		s.done = true
 		d.gossiper.Leave(d.now, "")
 		d.emit(descriptor.ShutdownComplete{})
@@ -80,8 +83,10 @@
 	}
 }
 
-// unconfirmedTallies returns the number of tallies that are not confirmed to be
-// in the store. Under a routing it is 0, since none are stored.
+// unconfirmedTallies returns 0 if all tallies are confirmed to be in the store.
+// Otherwise it returns the number of services with unconfirmed counts of this
+// instance plus that of services whose tallies this instance has yet to write. Under
+// a routing it is 0, since no tallies are stored.
 func (d *Decider[E, D, P, L]) unconfirmedTallies() int {
 	if d.options.Routing {
 		return 0
--- a/decider/receive.go
+++ b/decider/receive.go
@@ -69,7 +69,8 @@
 }
 
 // handleFreshness handles a freshness announcement: it forwards it, and sends a
-// digest to its sender if the announced documents are not all held.
+// digest to the instance that it came from if the announced hash sum differs from
+// that of the documents held.
 func (d *Decider[E, D, P, L]) handleFreshness(from descriptor.Member, m descriptor.Freshness) {
 	next, ok := d.relayer.HandleFreshness(d.now, m)
 	if !ok {
--- a/descriptor/directory.go
+++ b/descriptor/directory.go
@@ -18,8 +18,8 @@
 	// Routes finds services by host and path. It is nil unless the services are
 	// declared by a routing.
 	Routes *declarer.RouteIndex `json:",omitempty"`
-	// MembersKnown reports whether the instance has been a member long enough to know
-	// nearly all others, so that it can assign instances to callers.
+	// MembersKnown reports whether, under a routing, the list of members is taken to
+	// be complete, so that the instance can assign instances to callers.
 	MembersKnown bool `json:",omitempty"`
 	// Callers lists the instances assigned to callers under a routing.
 	Callers []Member `json:",omitempty"`
@@ -52,8 +52,8 @@
 type ServiceEntry struct {
 	Service  declarer.Service
 	Revision uint64
-	// Serving lists the instances that serve the service. Those in the local
-	// failure domain come first.
+	// Serving lists the instances that serve the service in the order of package
+	// allocator, which is the same at all instances that know the same members.
 	Serving []Member
 	// Local reports whether this instance serves the service.
 	Local bool
--- a/descriptor/dump.go
+++ b/descriptor/dump.go
@@ -92,7 +92,7 @@
 }
 
 // KeyDump counts the idempotency keys of an instance: keys held, requests that
-// wait for a claim, and keys dropped to bound memory.
+// wait for a claim, and an upper bound of the keys dropped to bound memory.
 type KeyDump struct {
 	Held    int
 	Parked  int
--- a/descriptor/messages.go
+++ b/descriptor/messages.go
@@ -74,8 +74,8 @@
 	Sequence uint64
 	// Sum is the hash sum of all documents.
 	Sum uint64
-	// Age is the time since the store was read, in milliseconds, when the message
-	// is sent.
+	// Age is the time since the store was read, in milliseconds, when the origin
+	// sends the message. Instances that forward it do not change Age.
 	Age int64
 }
 
@@ -173,14 +173,17 @@
 	Total int
 }
 
-// CrashReport reports that a backend server crashed after a request was sent to it.
+// CrashReport reports that a connection to a backend server broke before the response
+// to a request, which is taken as a crash.
 type CrashReport struct {
 	Service string
 	// Fingerprint identifies the request; see Arrived.
 	Fingerprint uint64
-	// Backend is the backend server that crashed.
+	// Backend is the backend server that crashed. It is empty if the request was
+	// answered.
 	Backend string
-	// Cleared withdraws earlier reports, because the request was answered.
+	// Cleared withdraws earlier reports about the request: those about Backend,
+	// because it was found to be up, or all of them if Backend is empty.
 	Cleared bool
 }
 
--- a/detector/policy.go
+++ b/detector/policy.go
@@ -27,8 +27,8 @@
 	// OverdueScore returns what one open request adds to the score if a healthy peer
 	// takes longer than its age with probability tail.
 	OverdueScore(tail float64) float64
-	// Restart returns the evidence to start with when a backend server that was
-	// avoided or ejected is used again.
+	// Restart returns the evidence to start with when the time for which a backend
+	// server was avoided is over.
 	Restart(e E) E
 	// Limit returns the score from which a backend server is judged gray.
 	Limit() float64
--- a/detector/reference.go
+++ b/detector/reference.go
@@ -31,7 +31,8 @@
 )
 
 // Reference is the distribution of service times and the failure rate of one
-// class of work over all backend servers that are not suspected.
+// class of work over the backend servers whose score is below half of
+// Policy.AvoidLimit.
 type Reference struct {
 	// counts holds the number of requests in each latency bucket, halved from
 	// time to time.
--- a/gossiper/tick.go
+++ b/gossiper/tick.go
@@ -121,9 +121,10 @@
 }
 
 // heartbeatIntervalOf returns the time between heartbeats on a link. It is
-// shortest for the watchers of this instance, twice as long for the instances
-// that this one watches, which may become watchers, and ten times as long for
-// other links.
+// heartbeatInterval for the watchers of this instance, for instances that suspected
+// it within accuserRetention, and for all links while no watchers are known. It is
+// twice as long for the instances that this one watches, which may become watchers,
+// and ten times as long for other links.
 func (g *Gossiper) heartbeatIntervalOf(id string, now time.Time) time.Duration {
 	switch {
 	case g.watchers[id] || len(g.watchers) == 0 || now.Sub(g.accusers[id]) < accuserRetention:
--- a/keeper/keeper.go
+++ b/keeper/keeper.go
@@ -122,7 +122,8 @@
 	receiving *container.Table[issuer, int]
 	// closed is set once the keys were handed over.
 	closed bool
-	// dropped counts the keys dropped to bound memory.
+	// dropped is an upper bound of the number of keys dropped to bound memory. It
+	// grows by generationKeys with each new generation.
 	dropped uint64
 
 	// waiting holds the requests that wait for the answer to a claim.
@@ -225,8 +226,9 @@
 	return d
 }
 
-// grant decides about a key of a ticket that this instance decides about. It grants
-// each key once, to holder.
+// grant decides about a key whose issuer is this instance or one that it took over.
+// It grants a key to one holder at a time, and not again once the work ran or may
+// have run.
 func (k *Keeper) grant(now time.Time, t Ticket, key, holder string) Decision {
 	r, ok := k.keys.Get(key)
 	if ok {
--- a/keeper/ticket.go
+++ b/keeper/ticket.go
@@ -1,6 +1,7 @@
 // Package keeper decides whether non-idempotent work with an idempotency key may
-// run. A key is granted only by the instance that its prefix, the ticket, names as
-// issuer, or by that instance's successor, and it is granted once.
+// run. A key with a ticket as its prefix is granted only by the instance that the
+// ticket names as issuer, or by that instance's successor; a key without one is
+// claimed in the platform's store. Work that ran or may have run is not granted again.
 package keeper
 
 import (
--- a/relayer/relayer.go
+++ b/relayer/relayer.go
@@ -39,7 +39,7 @@
 	fanout = 8
 )
 
-// origin is the state of the announcements of one instance that watches the store.
+// origin is the state of one sequence of messages that is forwarded along a tree.
 type origin struct {
 	// sequence is the order of the last message forwarded; see Newer.
 	sequence uint64
@@ -57,7 +57,9 @@
 	// own holds the time at which this instance last read each kind of document
 	// from the store.
 	own *container.Table[descriptor.Kind, time.Time]
-	// origins holds the instances that send announcements, by ID.
+	// origins holds the state of each sequence of messages that is forwarded along a
+	// tree. The key is the ID of the origin for freshness announcements, and the id
+	// passed to Newer for other messages, which set only sequence.
 	origins *container.Table[string, origin]
 	// announced is the time at which the documents of this instance were the
 	// newest ones according to announcements.
@@ -160,8 +162,9 @@
 }
 
 // NextFreshness returns the next freshness announcement of an instance that watches
-// the store, and whether one must be sent: every announceInterval, and immediately
-// when the hash sum of the documents changed.
+// the store, and whether one must be sent. One is sent after each new read of the
+// store, at most every announceInterval, and immediately when the hash sum of the
+// documents changed. None is sent if the last read is maxConfirmationAge old.
 func (r *Relayer) NextFreshness(now time.Time, kinds []descriptor.Kind, sum uint64) (descriptor.Freshness, bool) {
 	asOf := r.read(kinds)
 	if asOf.IsZero() || now.Sub(asOf) >= maxConfirmationAge {
