--- a/allocator/allocator.go
+++ b/allocator/allocator.go
@@ -36,7 +36,7 @@
 
 // CallerCount returns how many instances callers are sent to, where the backend
 // servers of all services have total slots together and the instances are in the
-// given number of failure domains. It is the same number for each failure domain.
+// given number of failure domains. The result is a multiple of that number.
 func CallerCount(total, domains int) int {
 	domains = max(1, domains)
 	each := (1 + total/slotsPerServing + domains - 1) / domains
--- a/allocator/allocator_test.go
+++ b/allocator/allocator_test.go
@@ -67,7 +67,7 @@
 	asserter.Equal(t, "share of an instance that does not serve", Share(3, 3, -1, "b"), 0)
 }
 
-func TestCount(t *testing.T) {
+func TestServingCount(t *testing.T) {
 	for _, c := range []struct{ total, smallest, want int }{{18, 3, 3}, {33, 3, 3}, {63, 3, 3}, {96, 6, 3}, {400, 6, 6}, {2, 1, 2}, {0, 0, 2}} {
 		asserter.Equal(t, fmt.Sprintf("count for %d slots", c.total), ServingCount(c.total, c.smallest), c.want)
 	}
--- a/container/sums.go
+++ b/container/sums.go
@@ -11,7 +11,7 @@
 type Sums struct {
 	// Buckets holds the sum of the hashes in each bucket, modulo 2^64.
 	Buckets [Buckets]uint64
-	// Count is the number of hashes added.
+	// Count is the number of records in the set.
 	Count int
 }
 
--- a/counter/writer.go
+++ b/counter/writer.go
@@ -16,11 +16,13 @@
 const (
 	// minWriteInterval is the minimum time between writes of one service's tallies.
 	minWriteInterval = 5 * time.Second
-	// writeIntervalPerService is the minimum time between two writes of all
-	// services together. It limits the writes of the fleet to 100 per second.
+	// writeIntervalPerService is the minimum mean time between writes of the whole
+	// fleet: the interval of each service is at least this times the number of
+	// services. It limits the fleet to 100 writes per second.
 	writeIntervalPerService = 10 * time.Millisecond
-	// initialBackoff is the backoff after the first failed write. It doubles with
-	// each further failure, up to the interval between writes.
+	// initialBackoff is the mean backoff after the first failed write. It doubles
+	// with each further failure, up to the interval between writes. The jitter of a
+	// service makes it 0.5 to 1.5 times as long.
 	initialBackoff = 2 * time.Second
 )
 
--- a/decider/documents.go
+++ b/decider/documents.go
@@ -134,7 +134,8 @@
 }
 
 // updateServingCount sets how many instances serve a service, from the slots of
-// its backend servers.
+// its backend servers. Under a routing it sets how many instances callers are sent to
+// instead; see updateCallerCount.
 func (d *Decider[E, D, P, L]) updateServingCount(service string) {
 	if !d.declared.Has(service) {
 		return
--- a/decider/tick.go
+++ b/decider/tick.go
@@ -96,7 +96,7 @@
 	d.watching = active
 	d.emit(descriptor.Watch{Active: active})
 	if active {
-		d.note(descriptor.NoteWatching, d.options.Self.ID, "follows the store")
+		d.note(descriptor.NoteWatching, d.options.Self.ID, "watches the platform's store")
 	}
 }
 
@@ -186,11 +186,11 @@
 // callers to other instances, since it would name only the few members it knows
 // so far.
 const (
-	// memberQuietTime is the time without a new member from which the list counts
-	// as complete.
+	// memberQuietTime is the time without a new member after which the list of
+	// members counts as complete. It runs from syncedAt at the earliest.
 	memberQuietTime = 400 * time.Millisecond
-	// membersKnownLimit is the time after which it counts as complete in any
-	// case.
+	// membersKnownLimit is the time after syncedAt at which the list counts as
+	// complete in any case.
 	membersKnownLimit = 3 * time.Second
 )
 
--- a/declarer/service.go
+++ b/declarer/service.go
@@ -76,9 +76,10 @@
 	// Share is the minimum fraction of backend servers that ejection must leave,
 	// from 0 to 1. The larger of Floor and Share applies.
 	Share float64
-	// Classes is not empty.
+	// Classes is not empty, except for a service of a routing that no route names.
 	Classes []Class
-	// Routes is not empty unless the service is closed.
+	// Routes is empty for services of a routing. Other services have at least one
+	// route while they are open.
 	Routes []Route
 	// Change identifies the write that stored this declaration.
 	Change string
--- a/descriptor/enums.go
+++ b/descriptor/enums.go
@@ -29,7 +29,8 @@
 // Reason states why a request ended.
 type Reason int
 
-// Reasons for the end of a request. Every reason but Served is a refusal.
+// Reasons for the end of a request. Every reason but Served means that the caller got
+// no complete response of a backend server.
 const (
 	Served Reason = iota
 	UnknownService
--- a/descriptor/messages.go
+++ b/descriptor/messages.go
@@ -97,8 +97,8 @@
 type BackendOutcomes struct {
 	Backend            string
 	Before, Bad, After int
-	// Late counts the requests that ran longer than a multiple of the typical
-	// service time.
+	// Late counts the attempts without a response after a multiple of the median
+	// service time of their class; see lateFactor of package balancer.
 	Late int `cbor:",omitempty"`
 	// Reported is set when the backend server reported its load Age milliseconds
 	// ago. Work is the number of requests of all instances that it had then.
--- a/descriptor/trace.go
+++ b/descriptor/trace.go
@@ -47,8 +47,9 @@
 	Entries []TraceEntry
 }
 
-// Notable reports whether the request failed, was refused, was retried, or took
-// longer than its target.
+// Notable reports whether the request was not served, had more than one attempt, had
+// a response with a status of at least minFailureStatus, or took longer than its
+// target.
 func (t RequestTrace) Notable() bool {
 	if t.Reason != Served || t.Latency > t.Target {
 		return true
--- a/detector/policy.go
+++ b/detector/policy.go
@@ -100,6 +100,9 @@
 // OverdueScore implements Policy.
 func (Sequential) OverdueScore(tail float64) float64 { return overdueLogRatio(tail) }
 
+// overdueLogRatio returns the log-likelihood ratio of a request that has not ended
+// after a duration with the given tail probability. It compares the probabilities of a
+// longer service time, tail and tail^grayTailExponent, not densities.
 func overdueLogRatio(tail float64) float64 {
 	return math.Log(1 - graySlowShare + graySlowShare*math.Pow(tail, grayTailExponent-1))
 }
--- a/estimator/fleet.go
+++ b/estimator/fleet.go
@@ -20,7 +20,7 @@
 	// its links.
 	Bytes, Messages float64
 	// Core is the processor time of one instance as a share of one core. It
-	// includes the instance's part of the stand-ins and of reading metrics.
+	// includes the instance's part of the stand-ins.
 	Core float64
 	// Memory is the heap per instance in bytes, including the stand-ins.
 	Memory float64
--- a/estimator/page.go
+++ b/estimator/page.go
@@ -105,6 +105,7 @@
 	tick := fit(p.Members, func(x Point) float64 { return x.Tick.Seconds() })
 	change := fit(p.Members, func(x Point) float64 { return x.Change.Seconds() })
 	document := fit(p.Services, func(x Point) float64 { return x.Change.Seconds() })
+	// There are 5 gossip ticks per second, one every 200 ms.
 	core := 5*max(0, tick.At(targetInstances)) +
 		changes*links*change.At(targetInstances) +
 		documents*document.At(targetServices) +
--- a/estimator/slope.go
+++ b/estimator/slope.go
@@ -96,7 +96,7 @@
 	return list
 }
 
-// declarationOf returns a declaration with the mean number of routes.
+// declarationOf returns a declaration with the mean number of routes, rounded up.
 func declarationOf(i int, revision uint64) descriptor.Document {
 	s := declarer.Service{
 		Name:  fmt.Sprintf("service-%d", i),
@@ -199,7 +199,9 @@
 	Heartbeat, Digest, Member, Reference, Declaration, Backends, Evidence, Tally float64
 }
 
-// frameOverhead is the length in bytes of the header of a WebSocket frame.
+// frameOverhead is the assumed length in bytes of the header of a WebSocket frame: 2
+// bytes and a mask of 4. Frames with 126 bytes of data and more have a longer header,
+// and frames of the accepting side have no mask.
 const frameOverhead = 6
 
 func measureSizes() (Sizes, error) {
--- a/forwarder/session.go
+++ b/forwarder/session.go
@@ -101,8 +101,8 @@
 }
 
 // routeUpdateWait bounds the wait for an update of the directory when a route is
-// unknown. The update arrives when an instance that follows the store next confirms its
-// state.
+// unknown. The update arrives with the next freshness announcement of an instance that
+// watches the store.
 const routeUpdateWait = 900 * time.Millisecond
 
 // timeLeft returns the time until the deadline, at least 1 ms, or 0 if there is none.
--- a/gossiper/gossiper.go
+++ b/gossiper/gossiper.go
@@ -37,9 +37,9 @@
 	// started is sent all records at once. In larger fleets it receives them
 	// bucket by bucket after digests.
 	maxInitialMembers = 512
-	// minDigestInterval is the minimum time between digests on a link.
-	// digestIntervalPerLink is the minimum time per open link, which bounds the
-	// total rate of digests.
+	// minDigestInterval is the minimum time between digests on one link.
+	// digestIntervalPerLink is the minimum mean time between digests over all links
+	// together: the interval on each link is at least this times the number of links.
 	minDigestInterval     = 10 * time.Second
 	digestIntervalPerLink = 1200 * time.Millisecond
 )
@@ -120,7 +120,8 @@
 	// Such an instance monitors this one even if the lists of members differ.
 	accusers map[string]time.Time
 	// watchedAt holds the time at which each watched instance was chosen or its
-	// last link was closed. It starts the silence of an instance without a link.
+	// last link was closed. While an instance has no link, silenceTimeout runs from
+	// this time.
 	watchedAt *container.Table[string, time.Time]
 	// lastTick is the time of the last tick.
 	lastTick time.Time
--- a/gossiper/gossiper_test.go
+++ b/gossiper/gossiper_test.go
@@ -135,9 +135,9 @@
 	return m
 }
 
-// suspects returns how often more nodes suspect a member than in the step before,
-// within a time.
-func (x *network) suspects(id string, d time.Duration) int {
+// newSuspicions runs the network for d in steps of 200 ms and returns the number of
+// steps after which more nodes suspect a member than before.
+func (x *network) newSuspicions(id string, d time.Duration) int {
 	n, before := 0, 0
 	for range d / (200 * time.Millisecond) {
 		x.run(200 * time.Millisecond)
@@ -233,7 +233,7 @@
 		x.add("n03", 2)
 		x.link("n03", "n00")
 		x.run(20 * time.Second)
-		asserter.Equal(t, "new suspicions", x.suspects("n03", 20*time.Second), 0)
+		asserter.Equal(t, "new suspicions", x.newSuspicions("n03", 20*time.Second), 0)
 	})
 	t.Run("a link closed by a late report is restored by the next message", func(t *testing.T) {
 		x := newNetwork(t, 12)
@@ -242,7 +242,7 @@
 		g.LinkClosed(descriptor.LinkClosed{At: x.now, Peer: peer})
 		x.run(5 * time.Second)
 		asserter.True(t, "linked", g.Linked(peer))
-		asserter.Equal(t, "new suspicions", x.suspects(peer, 10*time.Second), 0)
+		asserter.Equal(t, "new suspicions", x.newSuspicions(peer, 10*time.Second), 0)
 	})
 	t.Run("an announced shutdown is known within 2 s", func(t *testing.T) {
 		x := newNetwork(t, 12)
--- a/gossiper/tick.go
+++ b/gossiper/tick.go
@@ -10,9 +10,9 @@
 	"monsoonswitch/descriptor"
 )
 
-// Tick sends heartbeats, suspects silent instances, declares suspected ones dead
-// and spreads changes. The digests sent carry documents as the hash sums of the
-// documents.
+// Tick sends heartbeats and digests, suspects silent instances, declares suspected
+// ones dead and spreads changes. documents is the digest of the documents, which is
+// sent together with that of the members.
 func (g *Gossiper) Tick(now time.Time, documents container.Sums) {
 	g.compensatePause(now)
 	if g.ringChanged {
--- a/keeper/keeper.go
+++ b/keeper/keeper.go
@@ -56,8 +56,10 @@
 // parked is a request that waits for the answer to a claim.
 type parked struct {
 	arrived descriptor.Arrived
-	key     string
-	until   time.Time
+	// key is the caller's key if issuer is set, and otherwise that key prefixed with
+	// its service; see scopedKey.
+	key   string
+	until time.Time
 	// issuer is the instance that was sent the claim, or empty for the store.
 	issuer string
 }
@@ -267,7 +269,8 @@
 }
 
 // put stores a record. If that drops a generation of keys, the epochs of these keys
-// are closed, because a dropped key can't be told from a new one.
+// are closed, because a dropped key can't be distinguished from a new one. For issuers
+// that were taken over all epochs are closed, since those of their keys are not known.
 func (k *Keeper) put(key string, r record) {
 	if !k.keys.Put(key, r) {
 		return
@@ -282,7 +285,7 @@
 
 // beginRemote sends a claim to the issuer of a key, or to its successor.
 func (k *Keeper) beginRemote(e descriptor.Arrived, t Ticket, key string) (Decision, []descriptor.Action) {
-	issuer, ok := k.decider(t)
+	issuer, ok := k.remoteIssuer(t)
 	if !ok {
 		return reject(descriptor.KeyUnsettled, descriptor.MayHaveRun), nil
 	}
@@ -291,9 +294,10 @@
 	return Decision{Verdict: Wait}, []descriptor.Action{descriptor.Send{To: issuer, Message: claim}}
 }
 
-// decider returns the other instance that decides about the keys of a ticket, and
-// whether there is a live one.
-func (k *Keeper) decider(t Ticket) (descriptor.Member, bool) {
+// remoteIssuer returns the other instance that decides about the keys of a ticket, and
+// whether there is a live one. It is the issuer, or the issuer's successor if the
+// issuer left. A successor of the successor is not looked up.
+func (k *Keeper) remoteIssuer(t Ticket) (descriptor.Member, bool) {
 	m, ok := k.members.Member(t.Instance)
 	if !ok || m.Incarnation != t.Incarnation || m.ID == k.self.ID {
 		return m, false
--- a/keeper/ticket.go
+++ b/keeper/ticket.go
@@ -65,14 +65,15 @@
 }
 
 // ParseKey returns the ticket of a key and whether it has one. It returns ErrKey if
-// the key is too long, not printable ASCII, or has a malformed ticket.
+// the key is longer than MaxKey, has a space or a character that is not printable
+// ASCII, or has a malformed ticket.
 func ParseKey(key string) (Ticket, bool, error) {
 	if len(key) > MaxKey {
 		return Ticket{}, false, eris.Wrapf(ErrKey, "key longer than %d bytes", MaxKey)
 	}
 	for _, c := range key {
 		if c <= ' ' || c > '~' {
-			return Ticket{}, false, eris.Wrap(ErrKey, "key is not printable ASCII")
+			return Ticket{}, false, eris.Wrap(ErrKey, "key has a space or a character that is not printable ASCII")
 		}
 	}
 	if !strings.HasPrefix(key, ticketMark+".") {
--- a/relayer/relayer.go
+++ b/relayer/relayer.go
@@ -18,8 +18,8 @@
 // until a change is known well below the two seconds within which it must be in
 // force, even on instances whose links are silent.
 const (
-	// announceInterval is the time between announcements of an instance that
-	// watches the store.
+	// announceInterval is the minimum time between announcements of an instance
+	// that watches the store, unless its documents changed.
 	announceInterval = 300 * time.Millisecond
 	// maxConfirmationAge is the age of the last confirmation from which on an
 	// instance queries the store itself.
@@ -198,8 +198,10 @@
 	return p, true
 }
 
-// Newer records the sequence number of a message that is forwarded along a tree,
-// and reports whether the message is newer than the last one of its origin.
+// Newer records the order of a message that is forwarded along a tree, and reports
+// whether the message is newer than the last one with the same id. The order is the
+// incarnation, a start time in microseconds, plus the sequence number. A later
+// incarnation is newer, because sequence numbers grow more slowly than the clock.
 func (r *Relayer) Newer(id string, incarnation int64, sequence uint64) bool {
 	o, ok := r.origins.Get(id)
 	order := uint64(incarnation) + sequence
--- a/relayer/relayer_test.go
+++ b/relayer/relayer_test.go
@@ -59,8 +59,9 @@
 	})
 }
 
-// follower returns a relayer that read both kinds from the store at a time.
-func follower(id string, read time.Time) *Relayer {
+// newWatcher returns a relayer that read both kinds of documents from the store at
+// the given time.
+func newWatcher(id string, read time.Time) *Relayer {
 	r := New(descriptor.Member{ID: id, Incarnation: 7})
 	for _, k := range kinds {
 		r.RecordRead(k, read)
@@ -70,7 +71,7 @@
 
 func TestFreshness(t *testing.T) {
 	const sum = 42
-	origin := follower("a", at(0))
+	origin := newWatcher("a", at(0))
 	announcement, ok := origin.NextFreshness(at(100*time.Millisecond), kinds, sum)
 	asserter.True(t, "sent", ok)
 	asserter.Equal(t, "age", announcement.Age, 100)
@@ -109,14 +110,14 @@
 	})
 }
 
-func TestStale(t *testing.T) {
+func TestMustQuery(t *testing.T) {
 	t.Run("without messages from peers, queries the store well within two seconds", func(t *testing.T) {
-		r := follower("b", at(0))
+		r := newWatcher("b", at(0))
 		asserter.Equal(t, "soon", r.MustQuery(at(time.Second), kinds), false)
 		asserter.Equal(t, "later", r.MustQuery(at(1300*time.Millisecond), kinds), true)
 	})
 	t.Run("keeps querying until announcements keep arriving", func(t *testing.T) {
-		r := follower("b", at(0))
+		r := newWatcher("b", at(0))
 		r.MustQuery(at(1300*time.Millisecond), kinds)
 		for _, k := range kinds {
 			r.RecordRead(k, at(1400*time.Millisecond))
@@ -131,7 +132,7 @@
 	})
 }
 
-func TestMayReturn(t *testing.T) {
+func TestRestoreDeadline(t *testing.T) {
 	r := New(descriptor.Member{ID: "b"})
 	r.RecordResponse(at(0), at(0))
 	r.RecordResponse(at(time.Second), at(900*time.Millisecond))
--- a/spreader/spreader.go
+++ b/spreader/spreader.go
@@ -1,6 +1,6 @@
 // Package spreader distributes documents over the links between instances:
-// declared services, lists of backend servers and sets of ejections. A document
-// is never replaced by an older revision.
+// declared services, routings, lists of backend servers and sets of ejections. A
+// document is never replaced by an older revision.
 package spreader
 
 import (
@@ -16,8 +16,8 @@
 const (
 	// maxDocuments bounds the number of documents in one message.
 	maxDocuments = 32
-	// requestTimeout is how long an instance has to answer before another is
-	// asked.
+	// requestTimeout is how long the instances that were asked for a revision, at
+	// most maxParallelRequests, have to answer before others are asked.
 	requestTimeout = 500 * time.Millisecond
 )
 
--- a/spreader/spreader_test.go
+++ b/spreader/spreader_test.go
@@ -40,7 +40,7 @@
 	wantRevision(t, s, "a", 6)
 }
 
-func TestFresh(t *testing.T) {
+func TestTakeAnnouncements(t *testing.T) {
 	s := New()
 	s.Take(document("a", 1), "x")
 	got := s.TakeAnnouncements([]string{"x", "y"})
@@ -69,7 +69,7 @@
 	}
 }
 
-func TestAskOnce(t *testing.T) {
+func TestParallelRequests(t *testing.T) {
 	s := New()
 	now := time.Unix(1000, 0)
 	m := descriptor.References{List: []descriptor.Reference{{Kind: descriptor.KindService, Name: "a", Revision: 2}}}
