--- a/decider/decider.go
+++ b/decider/decider.go
@@ -66,7 +66,7 @@
 }
 
 // declaration is a declared service, its revision, and when that revision was
-// accepted by the platform and came into force here.
+// accepted by the platform and came into force at this instance.
 type declaration struct {
 	service  declarer.Service
 	revision uint64
--- a/decider/documents.go
+++ b/decider/documents.go
@@ -47,11 +47,12 @@
 }
 
 // setSynced records that the configuration is known, so that callers may be sent
-// here.
+// to this instance.
 func (d *Decider[E, D, P, L]) setSynced(source string) {
 	d.synced = true
 	d.syncedAt = d.now
-	// The traffic goroutines need the directory before others send callers here.
+	// The traffic goroutines need the directory before other instances send callers
+	// to this one.
 	d.publishNow()
 	d.note(descriptor.NoteReady, d.options.Self.ID, "configuration from "+source)
 	if !d.shutdown.started {
--- a/decider/receive.go
+++ b/decider/receive.go
@@ -52,8 +52,8 @@
 }
 
 // handleDigest compares a digest with the documents held and answers with the
-// differences. An instance that is not ready gets its answer at once, followed by
-// a digest from which it learns that nothing is missing.
+// differences. An instance that is not ready is answered immediately, and is
+// then sent a digest that shows it whether anything is missing.
 func (d *Decider[E, D, P, L]) handleDigest(from descriptor.Member, m descriptor.Digest) {
 	d.gossiper.HandleDigest(from.ID, m.Members)
 	for _, part := range d.spreader.HandleDigest(from.ID, m.Documents, !from.Ready || m.Urgent) {
