--- a/gossiper/tick.go
+++ b/gossiper/tick.go
@@ -10,9 +10,9 @@
 	"monsoonswitch/descriptor"
 )
 
-// Tick sends heartbeats, suspects silent instances, declares suspected ones dead
-// and spreads changes. The digests sent carry documents as the hash sums of the
-// documents.
+// Tick sends heartbeats and digests, suspects silent instances, declares suspected
+// ones dead and spreads changes. documents is the digest of the documents, which is
+// sent together with that of the members.
 func (g *Gossiper) Tick(now time.Time, documents container.BucketSums) {
 	g.compensatePause(now)
 	if g.ringChanged {
@@ -121,9 +121,10 @@
 }
 
 // heartbeatIntervalOf returns the time between heartbeats on a link. It is
-// shortest for the watchers of this instance, twice as long for the instances
-// that this one watches, which may become watchers, and ten times as long for
-// other links.
+// heartbeatInterval for the watchers of this instance, for instances that suspected
+// it within accuserRetention, and for all links while no watchers are known. It is
+// twice as long for the instances that this one watches, which may become watchers,
+// and ten times as long for other links.
 func (g *Gossiper) heartbeatIntervalOf(id string, now time.Time) time.Duration {
 	switch {
 	case g.watchers[id] || len(g.watchers) == 0 || now.Sub(g.accusers[id]) < accuserRetention:
--- a/keeper/ticket.go
+++ b/keeper/ticket.go
@@ -1,6 +1,7 @@
 // Package keeper decides whether non-idempotent work with an idempotency key may
-// run. A key is granted only by the instance that its prefix, the ticket, names as
-// issuer, or by that instance's successor, and it is granted once.
+// run. A key with a ticket as its prefix is granted only by the instance that the
+// ticket names as issuer, or by that instance's successor; a key without one is
+// claimed in the platform's store. Work that ran or may have run is not granted again.
 package keeper
 
 import (
@@ -64,14 +65,15 @@
 }
 
 // ParseKey returns the ticket of a key and whether it has one. It returns ErrKey if
-// the key is too long, not printable ASCII, or has a malformed ticket.
+// the key is longer than MaxKey, has a space or a character that is not printable
+// ASCII, or has a malformed ticket.
 func ParseKey(key string) (Ticket, bool, error) {
 	if len(key) > MaxKey {
 		return Ticket{}, false, eris.Wrapf(ErrKey, "key longer than %d bytes", MaxKey)
 	}
 	for _, c := range key {
 		if c <= ' ' || c > '~' {
-			return Ticket{}, false, eris.Wrap(ErrKey, "key is not printable ASCII")
+			return Ticket{}, false, eris.Wrap(ErrKey, "key has a space or a character that is not printable ASCII")
 		}
 	}
 	if !strings.HasPrefix(key, ticketMark+".") {
