--- a/balancer/balancer_test.go
+++ b/balancer/balancer_test.go
@@ -36,8 +36,8 @@
 	}
 }
 
-// newFixture returns the balancer of the first of n owners, with backend servers b0,
-// b1, ...
+// newFixture returns a fixture with the balancer of the first of some instances, which
+// all own slots, and with backend servers b0, b1, ...
 func newFixture(t *testing.T, instances, backends, slots int) *fixture {
 	x := &fixture{t: t, now: time.Unix(1000, 0)}
 	x.b = New[detector.Evidence, detector.Sequential, picker.Sampled, limiter.Adaptive](testService(), Options{
@@ -66,7 +66,7 @@
 	return list
 }
 
-// take collects the actions and ended requests since the last call.
+// take replaces actions and ended by those since the last call.
 func (x *fixture) take() {
 	x.actions, x.ended = x.b.Flush(nil, nil)
 }
@@ -127,7 +127,7 @@
 	x.take()
 }
 
-// run ticks for d and collects every action.
+// run ticks every 10 ms for d and collects all actions and ended requests.
 func (x *fixture) run(d time.Duration) {
 	var actions []descriptor.Action
 	var ended []Ended
@@ -161,7 +161,7 @@
 }
 
 func TestSlots(t *testing.T) {
-	t.Run("shares add up and are never exceeded", func(t *testing.T) {
+	t.Run("an owner starts no more requests than its share of the slots", func(t *testing.T) {
 		x := newFixture(t, 3, 6, 3)
 		started := 0
 		for range 20 {
--- a/balancer/eject_test.go
+++ b/balancer/eject_test.go
@@ -8,8 +8,8 @@
 	"monsoonswitch/descriptor"
 )
 
-// addEvidence gives the balancer strong evidence against backend servers, its own and
-// that of another instance.
+// addEvidence gives the balancer strong evidence against backend servers, from its own
+// observations and from those of another instance.
 func (x *fixture) addEvidence(ids ...string) {
 	m := descriptor.Evidence{Service: "fieldbook"}
 	for _, id := range ids {
@@ -47,7 +47,7 @@
 		x.run(50 * time.Millisecond)
 		w := x.proposal()
 		asserter.True(t, "proposed", w != nil)
-		asserter.AtMost(t, "ejected at first", len(w.Document.Ejections), 2)
+		asserter.AtMost(t, "ejections proposed", len(w.Document.Ejections), 2)
 	})
 	t.Run("backend servers that are down are no capacity", func(t *testing.T) {
 		x := newFixture(t, 2, 6, 3)
--- a/balancer/routed_test.go
+++ b/balancer/routed_test.go
@@ -51,7 +51,7 @@
 	shedShare func(at time.Duration) float64
 	// lostShare is the share of its work whose answer is lost. Nil means none.
 	lostShare func(backend int, at time.Duration) float64
-	// seed selects another random sequence for the same load.
+	// seed selects the random sequence of the replay.
 	seed uint64
 	// backends and slots are the size of the service.
 	backends, slots int
@@ -59,7 +59,7 @@
 
 // tally counts how requests ended.
 type tally struct {
-	asked, served, failed, refused, inTarget int
+	sent, served, failed, refused, inTarget int
 	// arrivals counts attempts that reached a backend server. ranTwice counts
 	// non-idempotent requests that ran more than once.
 	arrivals, ranTwice int
@@ -101,10 +101,10 @@
 	requests  map[descriptor.RequestID]*replayed
 	busy      []int
 	tally     tally
-	// lastSentAt, ownFailureAt and outsideFailureAt hold, by backend server, the
-	// times of the last work, of the last failure of its own and of the last answer
-	// that could be lost.
-	lastSentAt, ownFailureAt, outsideFailureAt []time.Duration
+	// lastSentAt, ownFailureAt and lossPossibleAt hold, by backend server, when it
+	// was last sent work, when it last failed work itself and when its answers
+	// could last be lost.
+	lastSentAt, ownFailureAt, lossPossibleAt []time.Duration
 	// ends holds the requests that ended in the last floorWindow.
 	ends []replayEnd
 }
@@ -129,7 +129,7 @@
 func replay[P picker.Policy](l loadPattern) tally {
 	f := &simulation[P]{load: l, random: rand.New(rand.NewPCG(7, 9+l.seed)), requests: make(map[descriptor.RequestID]*replayed), busy: make([]int, l.backends)}
 	for range l.backends {
-		f.lastSentAt, f.ownFailureAt, f.outsideFailureAt = append(f.lastSentAt, -harmExclusion), append(f.ownFailureAt, -harmExclusion), append(f.outsideFailureAt, -harmExclusion)
+		f.lastSentAt, f.ownFailureAt, f.lossPossibleAt = append(f.lastSentAt, -lossExclusion), append(f.ownFailureAt, -lossExclusion), append(f.lossPossibleAt, -lossExclusion)
 	}
 	f.tally.used = make(map[int]time.Duration)
 	var members []descriptor.Member
@@ -197,7 +197,7 @@
 }
 
 func (f *simulation[P]) arrive(id descriptor.RequestID, instance int, class string) {
-	f.tally.asked++
+	f.tally.sent++
 	f.requests[id] = &replayed{idempotent: class == "read", arrived: f.now}
 	f.instances[instance].Arrive(descriptor.Arrived{
 		At: f.time(), Request: id, Class: class, Caller: "c", Replayable: true, Fingerprint: uint64(id), Deadline: f.time().Add(4 * time.Second),
@@ -323,12 +323,12 @@
 
 // The floor of backend servers in use: in each window whose share of failures is
 // above minFloorFailures and below maxFloorFailures, floorUsedShare of the healthy
-// backend servers must have had work. harmExclusion is how long a backend server does
+// backend servers must have had work. lossExclusion is how long a backend server does
 // not count after its answers could be lost.
 const (
 	floorWindow      = 2 * time.Second
 	floorStep        = 50 * time.Millisecond
-	harmExclusion    = 6 * time.Second
+	lossExclusion    = 6 * time.Second
 	floorUsedShare   = 0.7
 	minFloorFailures = 0.1
 	maxFloorFailures = 0.5
@@ -336,8 +336,8 @@
 
 // watchFloor counts the windows in which too few backend servers had work.
 func (f *simulation[P]) watchFloor() {
-	outside, outsideUsed := f.used(func(i int) bool { return !f.load.gray(i, f.now) && !f.load.gray(i, f.now-floorWindow) })
-	if float64(outsideUsed) < floorUsedShare*float64(outside) {
+	notGray, notGrayUsed := f.used(func(i int) bool { return !f.load.gray(i, f.now) && !f.load.gray(i, f.now-floorWindow) })
+	if float64(notGrayUsed) < floorUsedShare*float64(notGray) {
 		f.tally.idleWindows++
 	}
 	healthy, used := f.used(f.countsForFloor)
@@ -368,9 +368,9 @@
 // harmExclusion.
 func (f *simulation[P]) countsForFloor(i int) bool {
 	if f.load.lostShare != nil && f.load.lostShare(i, f.now) > 0 {
-		f.outsideFailureAt[i] = f.now
+		f.lossPossibleAt[i] = f.now
 	}
-	return f.now-f.ownFailureAt[i] >= floorWindow && f.now-f.outsideFailureAt[i] >= harmExclusion
+	return f.now-f.ownFailureAt[i] >= floorWindow && f.now-f.lossPossibleAt[i] >= lossExclusion
 }
 
 // failedShare returns the share of the requests that ended in the last floorWindow
@@ -409,7 +409,7 @@
 }
 
 // share returns n as a share of the requests sent.
-func (t tally) share(n int) float64 { return float64(n) / float64(t.asked) }
+func (t tally) share(n int) float64 { return float64(n) / float64(t.sent) }
 
 // TestFailureSentAtOnce guards against a failure reaching the other instance only at
 // the next tick, while that instance still sends work to the failing backend server.
@@ -507,15 +507,15 @@
 }
 
 // TestLocalFailureDomain has a suspected backend server in the local failure domain
-// and a healthy one in another. Only a large body justifies the risk of the local
-// one.
+// and a healthy one in another. Only a body that is large or of unknown size justifies
+// the risk of the local one.
 func TestLocalFailureDomain(t *testing.T) {
 	list := []descriptor.Backend{{ID: "local", Domain: "local", Slots: 3}, {ID: "remote", Domain: "remote", Slots: 3}}
 	for _, c := range []struct {
 		name string
 		size int64
 		want string
-	}{{"none", 0, "remote"}, {"small", 1200, "remote"}, {"large", 60000, "local"}, {"unknown", -1, "local"}} {
+	}{{"no body", 0, "remote"}, {"small body", 1200, "remote"}, {"large body", 60000, "local"}, {"body of unknown size", -1, "local"}} {
 		t.Run(c.name, func(t *testing.T) {
 			b := newPooledBalancer(Options{Self: "entry-0", Domain: "local"}, []descriptor.Member{{ID: "entry-0"}}, list)
 			b.HandleSuspicionList(epoch, descriptor.SuspicionList{List: []descriptor.Suspicion{{Backend: "local", Gray: 0.12}, {Backend: "remote", Gray: 0}}})
@@ -538,6 +538,9 @@
 	asserter.AtLeast(t, "served in time", got.share(got.inTarget), 0.97)
 }
 
+// TestGrayPeriods has backend servers that are gray in some periods of nine seconds and
+// then fail most of their work at once. The balancer must avoid them without leaving
+// healthy backend servers idle.
 func TestGrayPeriods(t *testing.T) {
 	l := loadPattern{rate: steady(72), gray: grayPeriods, shedShare: noSheds, backends: 21, slots: 3}
 	got := replay[picker.HighestScore](l)
@@ -580,9 +583,9 @@
 		name string
 		load loadPattern
 	}{
-		{"some answers of most", loadPattern{rate: steady(72), gray: grayPeriods, shedShare: noSheds, backends: 21, slots: 3, lostShare: losingAnswers(0.4, 13)}},
-		{"few answers of all", loadPattern{rate: steady(72), gray: grayPeriods, shedShare: noSheds, backends: 21, slots: 3, lostShare: losingAnswers(0.13, 21)}},
-		{"reads too", loadPattern{rate: steady(36), idempotent: 0.8, gray: grayPeriods, shedShare: noSheds, backends: 11, slots: 3, lostShare: losingAnswers(0.4, 7)}},
+		{"some answers of most backend servers", loadPattern{rate: steady(72), gray: grayPeriods, shedShare: noSheds, backends: 21, slots: 3, lostShare: losingAnswers(0.4, 13)}},
+		{"few answers of all backend servers", loadPattern{rate: steady(72), gray: grayPeriods, shedShare: noSheds, backends: 21, slots: 3, lostShare: losingAnswers(0.13, 21)}},
+		{"with idempotent requests", loadPattern{rate: steady(36), idempotent: 0.8, gray: grayPeriods, shedShare: noSheds, backends: 11, slots: 3, lostShare: losingAnswers(0.4, 7)}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -599,13 +602,18 @@
 	asserter.Equal(t, "windows with too few in use", replay[picker.HighestScore](l).shortWindows, 0)
 }
 
+// TestGrayPeriodsIdempotent is TestGrayPeriods with a smaller service and idempotent
+// work only. Retries must hide nearly all failures within the bounds of the retries.
 func TestGrayPeriodsIdempotent(t *testing.T) {
 	l := loadPattern{rate: steady(30), idempotent: 1, gray: grayPeriods, shedShare: noSheds, backends: 11, slots: 3}
 	got := replay[picker.HighestScore](l)
 	asserter.AtMost(t, "share that fails", got.share(got.failed), 0.01)
-	asserter.AtMost(t, "arrivals for each request", float64(got.arrivals)/float64(got.asked), 1.2+50.0/(10*30))
+	asserter.AtMost(t, "arrivals for each request", float64(got.arrivals)/float64(got.sent), 1.2+50.0/(10*30))
 }
 
+// TestRefusedByAll has all backend servers refuse half of their work for ten seconds.
+// Work that did not run must be retried, but the retries must stay bounded or they add
+// to the overload.
 func TestRefusedByAll(t *testing.T) {
 	l := loadPattern{rate: steady(60), gray: neverGray, backends: 21, slots: 3, shedShare: func(at time.Duration) float64 {
 		if at > 10*time.Second && at < 20*time.Second {
@@ -619,12 +627,14 @@
 		// quarters of these must be used for the 300 requests refused once. Healthy
 		// backend servers fail 1.2% of the requests.
 		saved := 0.75 * 0.5 * (0.2*600 + 50)
-		asserter.AtLeast(t, "served", got.share(got.served), 1-(300-saved)/float64(got.asked)-0.012)
-		asserter.AtMost(t, "arrivals beyond the first", float64(got.arrivals-got.asked), 0.2*float64(got.asked)+50*5)
+		asserter.AtLeast(t, "served", got.share(got.served), 1-(300-saved)/float64(got.sent)-0.012)
+		asserter.AtMost(t, "arrivals beyond the first", float64(got.arrivals-got.sent), 0.2*float64(got.sent)+50*5)
 	})
 	t.Run("none runs twice", func(t *testing.T) { asserter.Equal(t, "runs", got.ranTwice, 0) })
 }
 
+// TestPeakLoad sends twice as much as the backend servers can serve for ten seconds.
+// Without admission control the queues grow until all requests miss their target.
 func TestPeakLoad(t *testing.T) {
 	l := loadPattern{gray: neverGray, shedShare: noSheds, backends: 6, slots: 3, rate: func(at time.Duration) float64 {
 		if at > 20*time.Second && at < 30*time.Second {
--- a/decider/decider_test.go
+++ b/decider/decider_test.go
@@ -14,7 +14,7 @@
 	"monsoonswitch/keeper"
 )
 
-// ready returns a driver whose nodes are ready and serve the service.
+// ready returns a driver with n instances that are ready and know the service.
 func ready(t *testing.T, n int) *driver {
 	d := newDriver(t, n)
 	for _, id := range d.order[1:] {
@@ -23,13 +23,13 @@
 	d.configure(d.order[0], declarer.Open, 5)
 	d.run(15 * time.Second)
 	for _, id := range d.order {
-		asserter.True(t, id+" is ready", d.nodes[id].synced)
+		asserter.True(t, id+" is ready", d.instances[id].synced)
 	}
 	return d
 }
 
 func (d *driver) ticket(id, unique string) string {
-	m := d.nodes[id].gossiper.Self()
+	m := d.instances[id].gossiper.Self()
 	return keeper.TicketOf(m, d.now).String() + "." + unique
 }
 
@@ -94,10 +94,10 @@
 			d := ready(t, 2)
 			s.play(d)
 			again := newDriver(t, 1)
-			node := NewStandard(d.options("entry-0"), time.Date(2026, 3, 1, 0, 0, 0, 0, time.UTC))
+			instance := NewStandard(d.options("entry-0"), time.Date(2026, 3, 1, 0, 0, 0, 0, time.UTC))
 			for _, e := range d.recorded {
 				again.write("event", e)
-				for _, a := range node.Step(e) {
+				for _, a := range instance.Step(e) {
 					again.write("  action", a)
 				}
 			}
@@ -109,44 +109,44 @@
 }
 
 func TestFleet(t *testing.T) {
-	t.Run("a revision reaches every node and never reverts", func(t *testing.T) {
+	t.Run("a revision reaches every instance and never reverts", func(t *testing.T) {
 		d := ready(t, 12)
 		d.configure("entry-3", declarer.Closing, 5)
 		d.run(time.Second)
 		for _, id := range d.order {
-			s, _ := d.nodes[id].declared.Get("billing")
+			s, _ := d.instances[id].declared.Get("billing")
 			asserter.Equal(t, "state at "+id, s.service.State, declarer.Closing)
 		}
 		old := testDeclaration(declarer.Open)
 		d.step("entry-5", descriptor.DocumentsRead{At: d.now, Documents: []descriptor.Document{{Kind: descriptor.KindService, Name: "billing", Revision: 1, Service: &old}}})
-		s, _ := d.nodes["entry-5"].declared.Get("billing")
+		s, _ := d.instances["entry-5"].declared.Get("billing")
 		asserter.Equal(t, "state after an old revision", s.service.State, declarer.Closing)
 	})
-	t.Run("a new node is ready without the store", func(t *testing.T) {
+	t.Run("a new instance is ready without the store", func(t *testing.T) {
 		d := ready(t, 6)
 		d.outage = true
 		d.add("entry-9")
 		d.link("entry-9", "entry-2")
 		d.run(5 * time.Second)
-		asserter.True(t, "ready", d.nodes["entry-9"].synced)
-		asserter.True(t, "knows the service", d.nodes["entry-9"].declared.Has("billing"))
+		asserter.True(t, "ready", d.instances["entry-9"].synced)
+		asserter.True(t, "knows the service", d.instances["entry-9"].declared.Has("billing"))
 	})
-	t.Run("a new node that knows no other node is not ready", func(t *testing.T) {
+	t.Run("an instance that knows no other one is not ready", func(t *testing.T) {
 		d := newDriver(t, 1)
 		d.run(5 * time.Second)
-		asserter.Equal(t, "ready", d.nodes["entry-0"].synced, false)
+		asserter.Equal(t, "ready", d.instances["entry-0"].synced, false)
 	})
-	t.Run("three nodes watch the store", func(t *testing.T) {
+	t.Run("three instances watch the store", func(t *testing.T) {
 		d := ready(t, 12)
 		watching := 0
 		for _, id := range d.order {
-			if d.nodes[id].watching {
+			if d.instances[id].watching {
 				watching++
 			}
 		}
 		asserter.Equal(t, "watching", watching, watcherCount)
 	})
-	t.Run("a node that does not serve a service reports no tallies", func(t *testing.T) {
+	t.Run("an instance that does not serve a service reports no tallies", func(t *testing.T) {
 		d := ready(t, 12)
 		d.run(10 * time.Second)
 		before := d.tallies["billing"]
@@ -160,17 +160,17 @@
 		}
 		asserter.Equal(t, "changed tallies", changed, allocator.MinServing)
 	})
-	t.Run("a node that does not serve a service refuses its requests as misdirected", func(t *testing.T) {
+	t.Run("an instance that does not serve a service refuses its requests as misdirected", func(t *testing.T) {
 		d := ready(t, 8)
 		for _, id := range d.order {
-			if d.nodes[id].served.Has("billing") {
+			if d.instances[id].served.Has("billing") {
 				continue
 			}
 			d.arrive(id, 77, "read", "")
 			asserter.Equal(t, "refusal", d.refusal(77), descriptor.Refuse{Request: 77, Reason: descriptor.Misdirected})
 			return
 		}
-		t.Fatal("got every node serving, want some that do not")
+		t.Fatal("got all instances serving, want some that do not")
 	})
 }
 
@@ -227,9 +227,11 @@
 	asserter.Equal(t, "incarnations", len(owners), 3)
 }
 
+// TestDumpHasNoSecrets checks only that a dump names the service. The options of a
+// decider hold no secrets that a dump could show.
 func TestDumpHasNoSecrets(t *testing.T) {
 	d := ready(t, 2)
-	text := fmt.Sprintf("%+v", d.nodes["entry-0"].Dump(d.now))
+	text := fmt.Sprintf("%+v", d.instances["entry-0"].Dump(d.now))
 	asserter.True(t, "names the service", strings.Contains(text, "billing"))
 }
 
@@ -237,24 +239,24 @@
 	for _, backends := range []int{6, 48, 200} {
 		b.Run(fmt.Sprintf("%d backend servers", backends), func(b *testing.B) {
 			now := time.Unix(1000, 0)
-			node := NewStandard(Options{Self: descriptor.Member{ID: "a", Incarnation: 1}, Seed: 1}, now)
+			instance := NewStandard(Options{Self: descriptor.Member{ID: "a", Incarnation: 1}, Seed: 1}, now)
 			s := testDeclaration(declarer.Open)
 			var list []descriptor.Backend
 			for i := range backends {
 				list = append(list, descriptor.Backend{ID: fmt.Sprintf("b%d", i), Slots: 6})
 			}
-			node.Step(descriptor.DocumentsRead{At: now, Complete: true, Documents: []descriptor.Document{
+			instance.Step(descriptor.DocumentsRead{At: now, Complete: true, Documents: []descriptor.Document{
 				{Kind: descriptor.KindService, Name: "billing", Revision: 1, Service: &s},
 				{Kind: descriptor.KindBackends, Name: "billing", Revision: 1, Backends: list},
 			}})
-			node.Step(descriptor.Ticked{At: now})
+			instance.Step(descriptor.Ticked{At: now})
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
 				id := descriptor.RequestID(i + 1)
 				now = now.Add(20 * time.Microsecond)
-				node.Step(descriptor.Arrived{At: now, Request: id, Service: "billing", Class: "read", Caller: "c", Fingerprint: uint64(id), Replayable: true})
-				node.Step(descriptor.Answered{At: now, Request: id, Attempt: 1, Status: 200})
-				node.Step(descriptor.Finished{At: now, Request: id, Attempt: 1, Bytes: 100})
+				instance.Step(descriptor.Arrived{At: now, Request: id, Service: "billing", Class: "read", Caller: "c", Fingerprint: uint64(id), Replayable: true})
+				instance.Step(descriptor.Answered{At: now, Request: id, Attempt: 1, Status: 200})
+				instance.Step(descriptor.Finished{At: now, Request: id, Attempt: 1, Bytes: 100})
 			}
 		})
 	}
--- a/decider/driver_test.go
+++ b/decider/driver_test.go
@@ -20,17 +20,17 @@
 // driver runs deciders in memory with a simulated clock. It is a second front end
 // beside the HTTP one. Messages, writes and answers take no simulated time.
 type driver struct {
-	t        *testing.T
-	now      time.Time
-	nodes    map[string]*Standard
-	order    []string
-	links    map[[2]string]bool
-	store    map[string]descriptor.Document
-	tallies  map[string][]descriptor.Tally
-	versions map[string]uint64
-	revision uint64
-	outage   bool
-	// log holds every event and action of the first node as text.
+	t         *testing.T
+	now       time.Time
+	instances map[string]*Standard
+	order     []string
+	links     map[[2]string]bool
+	store     map[string]descriptor.Document
+	tallies   map[string][]descriptor.Tally
+	versions  map[string]uint64
+	revision  uint64
+	outage    bool
+	// log holds every event and action of the first instance as text.
 	log      strings.Builder
 	recorded []descriptor.Event
 	// dispatched and refused list the decisions about requests.
@@ -43,15 +43,15 @@
 
 func newDriver(t *testing.T, n int) *driver {
 	d := &driver{
-		t:        t,
-		now:      time.Date(2026, 3, 1, 0, 0, 0, 0, time.UTC),
-		nodes:    make(map[string]*Standard),
-		links:    make(map[[2]string]bool),
-		store:    make(map[string]descriptor.Document),
-		tallies:  make(map[string][]descriptor.Tally),
-		versions: make(map[string]uint64),
-		left:     make(map[string]bool),
-		claims:   make(map[string]bool),
+		t:         t,
+		now:       time.Date(2026, 3, 1, 0, 0, 0, 0, time.UTC),
+		instances: make(map[string]*Standard),
+		links:     make(map[[2]string]bool),
+		store:     make(map[string]descriptor.Document),
+		tallies:   make(map[string][]descriptor.Tally),
+		versions:  make(map[string]uint64),
+		left:      make(map[string]bool),
+		claims:    make(map[string]bool),
 	}
 	for i := range n {
 		d.add(fmt.Sprintf("entry-%d", i))
@@ -61,7 +61,7 @@
 
 func (d *driver) add(id string) {
 	d.order = append(d.order, id)
-	d.nodes[id] = NewStandard(d.options(id), d.now)
+	d.instances[id] = NewStandard(d.options(id), d.now)
 }
 
 func (d *driver) options(id string) Options {
@@ -89,7 +89,7 @@
 }
 
 // configure builds a declaration and a list of backend servers and gives them to
-// one node, as if that node had read them from the store.
+// one instance, as if that instance had read them from the store.
 func (d *driver) configure(to string, state declarer.State, backends int) {
 	d.revision++
 	s := testDeclaration(state)
@@ -102,13 +102,13 @@
 	d.step(to, descriptor.DocumentsRead{At: d.now, Documents: documents, Complete: true, Kind: descriptor.KindService})
 }
 
-// step gives one event to a node and executes the actions that follow.
+// step gives one event to an instance and executes the actions that follow.
 func (d *driver) step(id string, e descriptor.Event) {
-	node := d.nodes[id]
-	if node == nil || d.left[id] {
+	instance := d.instances[id]
+	if instance == nil || d.left[id] {
 		return
 	}
-	actions := append([]descriptor.Action(nil), node.Step(e)...)
+	actions := append([]descriptor.Action(nil), instance.Step(e)...)
 	if id == d.order[0] {
 		d.recorded = append(d.recorded, e)
 		d.write("event", e)
@@ -155,11 +155,11 @@
 }
 
 func (d *driver) link(from, to string) {
-	if d.links[[2]string{from, to}] || d.links[[2]string{to, from}] || d.nodes[to] == nil {
+	if d.links[[2]string{from, to}] || d.links[[2]string{to, from}] || d.instances[to] == nil {
 		return
 	}
 	d.links[[2]string{from, to}] = true
-	a, b := d.nodes[from].gossiper.Self(), d.nodes[to].gossiper.Self()
+	a, b := d.instances[from].gossiper.Self(), d.instances[to].gossiper.Self()
 	d.step(from, descriptor.LinkOpened{At: d.now, Peer: b})
 	d.step(to, descriptor.LinkOpened{At: d.now, Peer: a})
 }
@@ -216,7 +216,7 @@
 	return e
 }
 
-// run advances the clock by span and ticks every node each 50 ms.
+// run advances the clock by span and ticks every instance each 50 ms.
 func (d *driver) run(span time.Duration) {
 	for end := d.now.Add(span); d.now.Before(end); {
 		d.now = d.now.Add(50 * time.Millisecond)
@@ -226,7 +226,7 @@
 	}
 }
 
-// arrive gives a request to a node.
+// arrive gives a request to an instance.
 func (d *driver) arrive(to string, id descriptor.RequestID, class, key string) {
 	d.step(to, descriptor.Arrived{
 		At:          d.now,
--- a/decider/routed_test.go
+++ b/decider/routed_test.go
@@ -13,29 +13,30 @@
 	"monsoonswitch/picker"
 )
 
-// routedFleet runs deciders under a routing in memory with a simulated clock.
-// Nodes that watch the store read it every 0.3 s.
+// routedFleet runs deciders whose services are declared by a routing, in memory and with a
+// simulated clock.
+// Instances that watch the store read it every 0.3 s.
 type routedFleet struct {
-	nodes   map[string]*Routed
-	order   []string
-	now     time.Time
-	linked  map[[2]string]bool
-	watches map[string]bool
+	instances map[string]*Routed
+	order     []string
+	now       time.Time
+	linked    map[[2]string]bool
+	watches   map[string]bool
 	// version is that of the routing in the store, revision that of its backend
 	// list.
 	version, revision uint64
-	// partitioned holds the nodes whose messages are dropped while their links
+	// partitioned holds the instances whose messages are dropped while their links
 	// stay open.
 	partitioned map[string]bool
 	// storeDown reports whether the store is unavailable.
 	storeDown bool
-	calls     int
+	reads     int
 	ticks     int
 }
 
 func newRoutedFleet(n int) *routedFleet {
 	f := &routedFleet{
-		nodes: make(map[string]*Routed), now: time.Date(2026, 3, 1, 0, 0, 0, 0, time.UTC),
+		instances: make(map[string]*Routed), now: time.Date(2026, 3, 1, 0, 0, 0, 0, time.UTC),
 		linked: make(map[[2]string]bool), watches: make(map[string]bool), partitioned: make(map[string]bool), version: 1, revision: 1,
 	}
 	for i := range n {
@@ -47,7 +48,7 @@
 
 func (f *routedFleet) add(id, domain string) {
 	self := descriptor.Member{ID: id, Incarnation: 1, Domain: domain, Public: id + ":80", Inner: id + ":81"}
-	f.nodes[id] = New[detector.Evidence, detector.Sequential, picker.HighestScore, limiter.Bounded](Options{Self: self, Seed: 1, Routing: true}, f.now)
+	f.instances[id] = New[detector.Evidence, detector.Sequential, picker.HighestScore, limiter.Bounded](Options{Self: self, Seed: 1, Routing: true}, f.now)
 	f.order = append(f.order, id)
 	if first := f.order[0]; first != id {
 		f.link(id, first)
@@ -55,24 +56,24 @@
 }
 
 func (f *routedFleet) link(from, to string) {
-	if f.linked[[2]string{from, to}] || f.linked[[2]string{to, from}] || f.nodes[to] == nil {
+	if f.linked[[2]string{from, to}] || f.linked[[2]string{to, from}] || f.instances[to] == nil {
 		return
 	}
 	f.linked[[2]string{from, to}] = true
-	a, b := f.nodes[from].gossiper.Self(), f.nodes[to].gossiper.Self()
+	a, b := f.instances[from].gossiper.Self(), f.instances[to].gossiper.Self()
 	f.step(from, descriptor.LinkOpened{At: f.now, Peer: b})
 	f.step(to, descriptor.LinkOpened{At: f.now, Peer: a})
 }
 
 func (f *routedFleet) step(id string, e descriptor.Event) {
-	for _, a := range append([]descriptor.Action(nil), f.nodes[id].Step(e)...) {
+	for _, a := range append([]descriptor.Action(nil), f.instances[id].Step(e)...) {
 		switch a := a.(type) {
 		case descriptor.Connect:
 			for _, p := range a.Peers {
 				f.link(id, p.ID)
 			}
 		case descriptor.Send:
-			if f.nodes[a.To.ID] != nil && !f.partitioned[id] && !f.partitioned[a.To.ID] {
+			if f.instances[a.To.ID] != nil && !f.partitioned[id] && !f.partitioned[a.To.ID] {
 				f.step(a.To.ID, descriptor.Received{At: f.now, From: id, Message: a.Message})
 			}
 		case descriptor.Watch:
@@ -93,9 +94,9 @@
 	return r
 }
 
-// read makes a node read the store.
+// read gives an instance a complete read of the store.
 func (f *routedFleet) read(id string, version uint64) {
-	f.calls++
+	f.reads++
 	routing := routingOf(version)
 	f.step(id, descriptor.DocumentsRead{At: f.now, AsOf: f.now, Kind: descriptor.KindRouting, Complete: true, Documents: []descriptor.Document{
 		{Kind: descriptor.KindRouting, Name: "all", Revision: version, Routing: &routing},
@@ -118,7 +119,7 @@
 	}
 }
 
-// watching returns the number of nodes that watch the store.
+// watching returns the number of instances that watch the store.
 func (f *routedFleet) watching() int {
 	n := 0
 	for _, active := range f.watches {
@@ -129,21 +130,21 @@
 	return n
 }
 
-// inForce returns the version of the routing that a node uses.
+// inForce returns the version of the routing that an instance uses.
 func (f *routedFleet) inForce(id string) uint64 {
-	if r := f.nodes[id].routes; r != nil {
+	if r := f.instances[id].routes; r != nil {
 		return r.Routing().Version
 	}
 	return 0
 }
 
 func TestRoutedFleet(t *testing.T) {
-	t.Run("few nodes watch the store and the others stay current", func(t *testing.T) {
+	t.Run("few instances watch the store and the others stay current", func(t *testing.T) {
 		f := newRoutedFleet(24)
 		f.run(5 * time.Second)
 		asserter.AtMost(t, "watching", f.watching(), routedWatcherCount)
 		for _, id := range f.order {
-			age := f.now.Sub(f.nodes[id].relayer.Current(f.nodes[id].options.kinds()))
+			age := f.now.Sub(f.instances[id].relayer.Current(f.instances[id].options.kinds()))
 			asserter.AtMost(t, "age at "+id, age, 1200*time.Millisecond)
 		}
 	})
@@ -156,7 +157,7 @@
 			asserter.Equal(t, id, f.inForce(id), uint64(5))
 		}
 	})
-	t.Run("a version reaches nodes whose messages are dropped within two seconds", func(t *testing.T) {
+	t.Run("a version reaches instances whose messages are dropped within two seconds", func(t *testing.T) {
 		f := newRoutedFleet(12)
 		f.run(2 * time.Second)
 		for _, id := range f.order[4:8] {
@@ -167,7 +168,7 @@
 		for _, id := range f.order {
 			asserter.Equal(t, id, f.inForce(id), uint64(6))
 		}
-		t.Run("nodes stop watching when messages arrive again", func(t *testing.T) {
+		t.Run("instances stop watching when messages arrive again", func(t *testing.T) {
 			clear(f.partitioned)
 			f.run(6 * time.Second)
 			asserter.AtMost(t, "watching", f.watching(), routedWatcherCount)
@@ -183,22 +184,22 @@
 			asserter.Equal(t, id, f.inForce(id), uint64(9))
 		}
 	})
-	t.Run("a node that starts while the store is down learns from the others", func(t *testing.T) {
+	t.Run("an instance that starts while the store is down gets the routing from the others", func(t *testing.T) {
 		f := newRoutedFleet(6)
 		f.run(2 * time.Second)
 		f.storeDown = true
 		f.add("entry-new", "worcester")
 		f.run(3 * time.Second)
 		asserter.Equal(t, "version", f.inForce("entry-new"), uint64(1))
-		asserter.True(t, "ready", f.nodes["entry-new"].published.Ready)
+		asserter.True(t, "ready", f.instances["entry-new"].published.Ready)
 	})
-	t.Run("all nodes send callers to the same two instances of each domain", func(t *testing.T) {
+	t.Run("all instances send callers to the same two instances of each domain", func(t *testing.T) {
 		f := newRoutedFleet(12)
 		f.run(2 * time.Second)
-		want := f.nodes[f.order[0]].published.Callers
+		want := f.instances[f.order[0]].published.Callers
 		asserter.Equal(t, "instances that callers are sent to", len(want), 6)
 		for _, id := range f.order {
-			d := f.nodes[id].published
+			d := f.instances[id].published
 			asserter.True(t, "members known", d.MembersKnown)
 			asserter.Equal(t, "those in providence", len(d.CallersFor("providence")), 2)
 			for i, m := range d.Callers {
@@ -206,10 +207,10 @@
 			}
 		}
 	})
-	t.Run("a node that just started redirects no callers", func(t *testing.T) {
+	t.Run("an instance that just started redirects no callers", func(t *testing.T) {
 		f := newRoutedFleet(6)
 		f.add("entry-new", "worcester")
 		f.read("entry-new", f.version)
-		asserter.Equal(t, "members known", f.nodes["entry-new"].published.MembersKnown, false)
+		asserter.Equal(t, "members known", f.instances["entry-new"].published.MembersKnown, false)
 	})
 }
--- a/gossiper/gossiper_test.go
+++ b/gossiper/gossiper_test.go
@@ -12,10 +12,10 @@
 
 // network simulates gossipers with links between them in fake time.
 type network struct {
-	t     *testing.T
-	now   time.Time
-	nodes map[string]*Gossiper
-	order []string
+	t         *testing.T
+	now       time.Time
+	gossipers map[string]*Gossiper
+	order     []string
 	// cut holds the directions in which messages are lost, as sender and receiver.
 	cut map[[2]string]bool
 	// hidden holds, for each receiver, the members whose records are removed from
@@ -27,11 +27,11 @@
 
 func newNetwork(t *testing.T, n int) *network {
 	x := &network{
-		t:     t,
-		now:   time.Unix(1000, 0),
-		nodes: make(map[string]*Gossiper),
-		cut:   make(map[[2]string]bool),
-		links: make(map[[2]string]bool),
+		t:         t,
+		now:       time.Unix(1000, 0),
+		gossipers: make(map[string]*Gossiper),
+		cut:       make(map[[2]string]bool),
+		links:     make(map[[2]string]bool),
 	}
 	for i := range n {
 		x.add(fmt.Sprintf("n%02d", i), 1)
@@ -44,26 +44,26 @@
 }
 
 func (x *network) add(id string, incarnation int64) {
-	if _, ok := x.nodes[id]; !ok {
+	if _, ok := x.gossipers[id]; !ok {
 		x.order = append(x.order, id)
 	}
 	m := descriptor.Member{ID: id, Incarnation: incarnation, Domain: "d", Inner: id}
-	x.nodes[id] = New(m, x.now)
-	x.nodes[id].SetReady(x.now, true)
+	x.gossipers[id] = New(m, x.now)
+	x.gossipers[id].SetReady(x.now, true)
 }
 
 func (x *network) link(from, to string) {
-	if x.links[[2]string{from, to}] || x.nodes[from] == nil || x.nodes[to] == nil {
+	if x.links[[2]string{from, to}] || x.gossipers[from] == nil || x.gossipers[to] == nil {
 		return
 	}
 	x.links[[2]string{from, to}] = true
-	x.nodes[from].LinkOpened(descriptor.LinkOpened{At: x.now, Peer: x.nodes[to].Self()})
-	x.nodes[to].LinkOpened(descriptor.LinkOpened{At: x.now, Peer: x.nodes[from].Self()})
+	x.gossipers[from].LinkOpened(descriptor.LinkOpened{At: x.now, Peer: x.gossipers[to].Self()})
+	x.gossipers[to].LinkOpened(descriptor.LinkOpened{At: x.now, Peer: x.gossipers[from].Self()})
 }
 
-// kill removes a node that does not announce its shutdown.
+// kill removes an instance without an announced shutdown and closes its links.
 func (x *network) kill(id string) {
-	delete(x.nodes, id)
+	delete(x.gossipers, id)
 	for pair := range x.links {
 		other := pair[0]
 		if other == id {
@@ -73,7 +73,7 @@
 			continue
 		}
 		delete(x.links, pair)
-		if g := x.nodes[other]; g != nil {
+		if g := x.gossipers[other]; g != nil {
 			g.LinkClosed(descriptor.LinkClosed{At: x.now, Peer: id})
 		}
 	}
@@ -83,9 +83,9 @@
 	for end := x.now.Add(d); x.now.Before(end); {
 		x.now = x.now.Add(200 * time.Millisecond)
 		for _, id := range x.order {
-			if g := x.nodes[id]; g != nil {
+			if g := x.gossipers[id]; g != nil {
 				g.Tick(x.now, container.BucketSums{})
-				x.carry(id, g)
+				x.execute(id, g)
 				for _, peer := range g.watched {
 					x.link(id, peer)
 				}
@@ -94,7 +94,7 @@
 	}
 }
 
-func (x *network) carry(id string, g *Gossiper) {
+func (x *network) execute(id string, g *Gossiper) {
 	actions, _ := g.Drain()
 	for _, a := range actions {
 		switch a := a.(type) {
@@ -109,7 +109,7 @@
 }
 
 func (x *network) deliver(from string, a descriptor.Send) {
-	to := x.nodes[a.To.ID]
+	to := x.gossipers[a.To.ID]
 	linked := x.links[[2]string{from, a.To.ID}] || x.links[[2]string{a.To.ID, from}]
 	if to == nil || !linked || x.cut[[2]string{from, a.To.ID}] {
 		return
@@ -136,7 +136,7 @@
 }
 
 // newSuspicions runs the network for d in steps of 200 ms and returns the number of
-// steps after which more nodes suspect a member than before.
+// steps after which more instances suspect a member than before.
 func (x *network) newSuspicions(id string, d time.Duration) int {
 	n, before := 0, 0
 	for range d / (200 * time.Millisecond) {
@@ -150,10 +150,10 @@
 	return n
 }
 
-// states counts the states in which the other nodes hold a member.
+// states counts the states in which the other instances hold a member.
 func (x *network) states(id string) map[descriptor.Liveness]int {
 	result := make(map[descriptor.Liveness]int)
-	for other, g := range x.nodes {
+	for other, g := range x.gossipers {
 		if other == id {
 			continue
 		}
@@ -168,8 +168,8 @@
 	t.Run("all instances know all others over few links", func(t *testing.T) {
 		x := newNetwork(t, 24)
 		for _, id := range x.order {
-			asserter.Equal(t, "members of "+id, len(x.nodes[id].Members()), 24)
-			asserter.AtMost(t, "watched by "+id, len(x.nodes[id].watched), 5)
+			asserter.Equal(t, "members of "+id, len(x.gossipers[id].Members()), 24)
+			asserter.AtMost(t, "watched by "+id, len(x.gossipers[id].watched), 5)
 		}
 	})
 	t.Run("all instances declare a crashed instance dead", func(t *testing.T) {
@@ -222,7 +222,7 @@
 		x.link("n01", "n00")
 		x.run(10 * time.Second)
 		for _, id := range x.order {
-			m, _ := x.nodes[id].Member("n01")
+			m, _ := x.gossipers[id].Member("n01")
 			asserter.Equal(t, "incarnation at "+id, m.Incarnation, int64(2))
 		}
 	})
@@ -237,7 +237,7 @@
 	})
 	t.Run("a link closed by a late report is restored by the next message", func(t *testing.T) {
 		x := newNetwork(t, 12)
-		g := x.nodes["n04"]
+		g := x.gossipers["n04"]
 		peer := g.watched[0]
 		g.LinkClosed(descriptor.LinkClosed{At: x.now, Peer: peer})
 		x.run(5 * time.Second)
@@ -246,8 +246,8 @@
 	})
 	t.Run("an announced shutdown is known within 2 s", func(t *testing.T) {
 		x := newNetwork(t, 12)
-		x.nodes["n04"].Leave(x.now, "n01")
-		x.carry("n04", x.nodes["n04"])
+		x.gossipers["n04"].Leave(x.now, "n01")
+		x.execute("n04", x.gossipers["n04"])
 		x.kill("n04")
 		x.run(2 * time.Second)
 		asserter.Equal(t, "states", x.states("n04"), map[descriptor.Liveness]int{descriptor.Left: 11})
