--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-# The front door: make help lists what there is.
+# Targets to build, test and measure the program; make help lists them.
 GO ?= go
 GOLANGCI_VERSION := v2.15.0
 BIN := $(CURDIR)/build
--- a/allocator/allocator_test.go
+++ b/allocator/allocator_test.go
@@ -22,7 +22,7 @@
 }
 
 func TestServing(t *testing.T) {
-	t.Run("failure domains take turns", func(t *testing.T) {
+	t.Run("three serving instances are in three failure domains", func(t *testing.T) {
 		for s := range 50 {
 			got := Serving(fmt.Sprintf("service-%d", s), members(12, 3), 3)
 			seen := make(map[string]bool)
--- a/counter/counter_test.go
+++ b/counter/counter_test.go
@@ -118,7 +118,7 @@
 		x.write(now.Add(time.Hour))
 		asserter.Equal(t, "received", x.received(), uint64(many+2))
 	})
-	t.Run("a writer that finds a folded tally in the store drops the tallies in it", func(t *testing.T) {
+	t.Run("a writer that finds a folded tally in the store drops its own tallies of the same incarnations", func(t *testing.T) {
 		y := newStoreSimulation(t)
 		y.stored, y.revision = x.stored, x.revision
 		y.writer.Merge(ended(5, start.Add(5*time.Minute)))
--- a/fleet_test.go
+++ b/fleet_test.go
@@ -89,8 +89,9 @@
 	x.finish()
 }
 
-// TestFleetRollingRestart checks that replacing all instances, three at a time, loses
-// and refuses no request and that the report is complete.
+// TestFleetRollingRestart checks that replacing all instances, three at a time, leaves
+// no request without an answer and refuses none because of the restart, and that the
+// report is complete.
 func TestFleetRollingRestart(t *testing.T) {
 	f := newFleet(t, fleetSize)
 	x := newTraffic(f, 4)
--- a/keeper/keeper_test.go
+++ b/keeper/keeper_test.go
@@ -159,20 +159,23 @@
 		_, _ = p.keepers["b"].Begin(e, false)
 		verdict := descriptor.Verdict{Request: 5, Key: "billing/" + p.key("a", "other"), Granted: true}
 		_, ok, actions := p.keepers["b"].HandleVerdict(p.members["a"], verdict)
-		asserter.Equal(t, "went on", ok, false)
+		asserter.Equal(t, "request resolved", ok, false)
 		asserter.Equal(t, "actions", len(actions), 1)
 	})
 	t.Run("a grant that arrives after the wait is returned to the issuer", func(t *testing.T) {
 		p := newCluster(t)
 		verdict := descriptor.Verdict{Request: 77, Key: "billing/k", Granted: true}
 		_, ok, actions := p.keepers["b"].HandleVerdict(p.members["a"], verdict)
-		asserter.Equal(t, "went on", ok, false)
+		asserter.Equal(t, "request resolved", ok, false)
 		asserter.Equal(t, "actions", actions, []descriptor.Action{descriptor.Send{
 			To: p.members["a"], Message: descriptor.KeySettlement{Key: "billing/k", Outcome: descriptor.NotRun},
 		}})
 	})
 }
 
+// TestDroppedKeys sends more keys than an issuer holds. A request with a dropped key
+// must be refused with an uncertain outcome, since the issuer can no longer know whether
+// its work ran.
 func TestDroppedKeys(t *testing.T) {
 	p := newCluster(t)
 	first := p.key("a", "first")
@@ -192,6 +195,8 @@
 }
 
 func TestKeyHandover(t *testing.T) {
+	// handOver hands over the keys of a to c, without the message with index lose, and
+	// makes c the successor of a.
 	handOver := func(p *cluster, lose int) {
 		for i, a := range p.keepers["a"].HandOver(p.members["c"]) {
 			if i != lose {
@@ -256,7 +261,7 @@
 			asserter.Equal(t, "verdict", d.Verdict, Wait)
 			write := actions[0].(descriptor.WriteClaim)
 			resolved, ok := p.keepers["a"].Written(descriptor.Written{At: p.now, Write: write.Write, Result: c.result})
-			asserter.True(t, "settled", ok)
+			asserter.True(t, "resolved", ok)
 			asserter.Equal(t, "decision", resolved.Decision, c.want)
 		})
 	}
--- a/logger/logger_test.go
+++ b/logger/logger_test.go
@@ -101,7 +101,7 @@
 		asserter.AtMost(t, "other requests logged", count(`"reason":"served"`), 1*10+1*3)
 	})
 	t.Run("logged requests have all their events", func(t *testing.T) {
-		asserter.Equal(t, "placements", count(`"event":6003`), count(`"event":6008`))
+		asserter.Equal(t, "requests sent to a backend server", count(`"event":6003`), count(`"event":6008`))
 	})
 	t.Run("omitted requests are counted", func(t *testing.T) {
 		asserter.AtLeast(t, "counts", count(`"event":6009`), 1)
--- a/platform_test.go
+++ b/platform_test.go
@@ -199,7 +199,7 @@
 // no longer holds the history that they watch.
 func TestPlatformServes(t *testing.T) {
 	f := newPlatformFleet(t, 3, 4)
-	t.Run("a response passes unchanged by host and path", func(t *testing.T) {
+	t.Run("a request is routed by host and path and its response is unchanged", func(t *testing.T) {
 		status, body := f.send(f.instances[1], "POST", "ledger.example:80", "/once/a", "work")
 		asserter.Equal(t, "status", status, 200)
 		asserter.Equal(t, "body", body, "POST /once/a by ledger")
--- a/relayer/relayer_test.go
+++ b/relayer/relayer_test.go
@@ -113,10 +113,10 @@
 func TestMustQuery(t *testing.T) {
 	t.Run("without messages from peers, queries the store well within two seconds", func(t *testing.T) {
 		r := newWatcher("b", at(0))
-		asserter.Equal(t, "soon", r.MustQuery(at(time.Second), kinds), false)
-		asserter.Equal(t, "later", r.MustQuery(at(1300*time.Millisecond), kinds), true)
+		asserter.Equal(t, "after 1 s", r.MustQuery(at(time.Second), kinds), false)
+		asserter.Equal(t, "after 1.3 s", r.MustQuery(at(1300*time.Millisecond), kinds), true)
 	})
-	t.Run("keeps querying until announcements keep arriving", func(t *testing.T) {
+	t.Run("keeps querying until announcements arrive regularly", func(t *testing.T) {
 		r := newWatcher("b", at(0))
 		r.MustQuery(at(1300*time.Millisecond), kinds)
 		for _, k := range kinds {
--- a/server/server_test.go
+++ b/server/server_test.go
@@ -65,7 +65,7 @@
 		_ = response.Body.Close()
 		asserter.Equal(t, "status", response.StatusCode, http.StatusNotFound)
 	})
-	t.Run("an address in use is an error", func(t *testing.T) {
+	t.Run("a stand-in store refuses an address in use", func(t *testing.T) {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		asserter.NoError(t, "listen", err)
 		defer func() { _ = l.Close() }()
--- a/spreader/spreader_test.go
+++ b/spreader/spreader_test.go
@@ -78,7 +78,7 @@
 		want  int
 	}{{0, 1}, {time.Millisecond, 1}, {10 * time.Millisecond, 0}, {requestTimeout, 1}} {
 		want, _ := s.Compare(now.Add(c.after), m)
-		asserter.Equal(t, "asked after "+c.after.String(), len(want.List), c.want)
+		asserter.Equal(t, "requested after "+c.after.String(), len(want.List), c.want)
 	}
 }
 
--- a/standin_test.go
+++ b/standin_test.go
@@ -73,7 +73,7 @@
 	s.down = down
 }
 
-// dropHistory removes all events, so that a watch from an older revision gets status
+// dropHistory removes all events, so that a watch after an older revision gets status
 // 410.
 func (s *platformStore) dropHistory() {
 	s.mu.Lock()
@@ -192,8 +192,8 @@
 // signature is the header value that marks responses as those of a backend server.
 const signature = "stand-in"
 
-// ServeHTTP implements http.Handler. It refuses requests for another instance with
-// status 421.
+// ServeHTTP implements http.Handler. It refuses requests for another backend server
+// with status 421.
 func (b *platformBackend) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	_, _ = io.Copy(io.Discard, r.Body)
 	id := r.Header.Get("Request-Id")
--- a/tools/fleet.sh
+++ b/tools/fleet.sh
@@ -2,7 +2,7 @@
 # Runs a scenario against a fleet of real processes on loopback:
 #   tools/fleet.sh SCENARIO [INSTANCES]
 # It starts the stand-in store, the stand-in backend servers of the scenario's
-# deployment and the instances, and ends them by their process numbers.
+# deployment and the instances, and kills them by process ID at exit.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 scenario=$1
@@ -12,7 +12,8 @@
 pids=()
 trap 'kill "${pids[@]}" 2>/dev/null || true; wait 2>/dev/null || true; rm -rf "$dir"' EXIT
 
-# start NAME COMMAND... runs a stand-in and prints its address.
+# start NAME COMMAND... starts a stand-in in the background and sets address to the
+# address that it listens on. It fails if the stand-in prints none within about 4 s.
 start() {
   local name=$1
   shift
