--- a/allocator/allocator_test.go
+++ b/allocator/allocator_test.go
@@ -54,6 +54,8 @@
 	})
 }
 
+// TestShare guards against shares of the slots that add up to more than a backend
+// server has, or to fewer.
 func TestShare(t *testing.T) {
 	for n := 1; n <= 6; n++ {
 		for slots := 1; slots <= 8; slots++ {
--- a/balancer/balancer_test.go
+++ b/balancer/balancer_test.go
@@ -326,6 +326,9 @@
 	})
 }
 
+// TestDrain guards against new work for a backend server that announces in an answer
+// that it is draining. The other owners must be notified, since they may have received
+// no answer from it.
 func TestDrain(t *testing.T) {
 	x := newFixture(t, 2, 2, 4)
 	_, p := x.arrive("visit", nil)
@@ -344,6 +347,9 @@
 	}
 }
 
+// TestPoison guards against a request that crashes every backend server that runs it.
+// It must be refused after two crashes, while a broken connection to a backend server
+// that is up must not count as a crash.
 func TestPoison(t *testing.T) {
 	mark := func(e *descriptor.Arrived) { e.Fingerprint = 99 }
 	t.Run("a request is refused after two crashes", func(t *testing.T) {
--- a/balancer/eject_test.go
+++ b/balancer/eject_test.go
@@ -40,6 +40,8 @@
 	x.take()
 }
 
+// TestFloor guards against ejections that leave fewer backend servers than the floor,
+// also when others go down later or another instance ejects some at the same time.
 func TestFloor(t *testing.T) {
 	t.Run("a proposal keeps the floor", func(t *testing.T) {
 		x := newFixture(t, 2, 6, 3)
@@ -117,6 +119,9 @@
 	return n
 }
 
+// TestEjectionDecision guards against ejecting a healthy backend server because of a
+// fault of this instance, of its links or of the whole service, and against keeping a
+// gray one.
 func TestEjectionDecision(t *testing.T) {
 	t.Run("a fault seen by one of two instances ejects nothing", func(t *testing.T) {
 		x := newFixture(t, 2, 6, 3)
--- a/counter/counter_test.go
+++ b/counter/counter_test.go
@@ -99,6 +99,9 @@
 	})
 }
 
+// TestFold guards against a stored list of tallies that grows with each incarnation
+// that ended, and against counting a folded tally twice when a copy of it arrives
+// late.
 func TestFold(t *testing.T) {
 	x := newStoreSimulation(t)
 	const many = 1000
--- a/forwarder/routed_test.go
+++ b/forwarder/routed_test.go
@@ -89,6 +89,8 @@
 	})
 }
 
+// TestBodyReplay guards against a truncated body in a request that is sent again. The
+// backend server refuses it twice as not run after reading the body.
 func TestBodyReplay(t *testing.T) {
 	var calls atomic.Int32
 	var last atomic.Value
@@ -116,6 +118,8 @@
 // ParseHead implements Dialect.
 func (mismatching) ParseHead(*http.Response, string) Head { return Head{Mismatched: true} }
 
+// TestMismatchedAnswer guards against delivering the answer to another request, and
+// against reusing the connection on which it arrived.
 func TestMismatchedAnswer(t *testing.T) {
 	var connections sync.Map
 	x := newFixture(t, func(w http.ResponseWriter, r *http.Request) {
--- a/keeper/keeper_test.go
+++ b/keeper/keeper_test.go
@@ -86,6 +86,9 @@
 	asserter.Equal(p.t, "decision", got, Decision{Verdict: verdict, Reason: reason, Outcome: outcome})
 }
 
+// TestTicketKeys guards against work with an idempotency key that runs twice because
+// it is sent again, to the same or to another instance. If it is uncertain whether the
+// work ran, it must be refused.
 func TestTicketKeys(t *testing.T) {
 	t.Run("runs once at its issuer", func(t *testing.T) {
 		p := newCluster(t)
@@ -194,6 +197,8 @@
 	p.want(d, Reject, descriptor.KeyUnsettled, descriptor.MayHaveRun)
 }
 
+// TestKeyHandover guards against work that runs again at the successor of an instance
+// that shut down, also when a message of the handover is lost.
 func TestKeyHandover(t *testing.T) {
 	// handOver hands over the keys of a to c, without the message with index lose, and
 	// makes c the successor of a.
--- a/logger/logger_test.go
+++ b/logger/logger_test.go
@@ -61,6 +61,8 @@
 	}}
 }
 
+// TestBlockedOutput guards against a log output that blocks the caller of the logger.
+// Lines must be dropped instead, and counted.
 func TestBlockedOutput(t *testing.T) {
 	out := blockedOutput{make(chan struct{})}
 	l, err := New(out, "info", "json", "entry-1", RequestLimits{Notable: 1e5, Sampled: 1e5})
--- a/relayer/relayer_test.go
+++ b/relayer/relayer_test.go
@@ -132,6 +132,8 @@
 	})
 }
 
+// TestRestoreDeadline guards against dropping backend servers whose entries expired
+// while the store was unavailable, before they could register again.
 func TestRestoreDeadline(t *testing.T) {
 	r := New(descriptor.Member{ID: "b"})
 	r.RecordResponse(at(0), at(0))
--- a/spreader/spreader_test.go
+++ b/spreader/spreader_test.go
@@ -29,6 +29,8 @@
 	asserter.Equal(t, "revision of "+id, d.Revision, want)
 }
 
+// TestNeverReverts guards against an older revision that arrives late and replaces a
+// newer one.
 func TestNeverReverts(t *testing.T) {
 	s := New()
 	for _, c := range []struct {
@@ -69,6 +71,8 @@
 	}
 }
 
+// TestParallelRequests guards against requesting one revision from every peer that
+// announces it, and against waiting forever for requests that were lost.
 func TestParallelRequests(t *testing.T) {
 	s := New()
 	now := time.Unix(1000, 0)
--- a/storer/storer_test.go
+++ b/storer/storer_test.go
@@ -62,6 +62,8 @@
 	})
 }
 
+// TestLostReplies guards against reporting a write as failed, or as accepted, when
+// only its reply was lost. PutVerified must read the value back to find out.
 func TestLostReplies(t *testing.T) {
 	ctx := context.Background()
 	s, c := startPlatform(t)
