--- a/balancer/eject_test.go
+++ b/balancer/eject_test.go
@@ -8,8 +8,8 @@
 	"monsoonswitch/descriptor"
 )
 
-// addEvidence gives the balancer strong evidence against backend servers, its own and
-// that of another instance.
+// addEvidence gives the balancer strong evidence against backend servers, from its own
+// observations and from those of another instance.
 func (x *fixture) addEvidence(ids ...string) {
 	m := descriptor.Evidence{Service: "fieldbook"}
 	for _, id := range ids {
@@ -40,6 +40,8 @@
 	x.take()
 }
 
+// TestFloor guards against ejections that leave fewer backend servers than the floor,
+// also when others go down later or another instance ejects some at the same time.
 func TestFloor(t *testing.T) {
 	t.Run("a proposal keeps the floor", func(t *testing.T) {
 		x := newFixture(t, 2, 6, 3)
@@ -47,7 +49,7 @@
 		x.run(50 * time.Millisecond)
 		w := x.proposal()
 		asserter.True(t, "proposed", w != nil)
-		asserter.AtMost(t, "ejected at first", len(w.Document.Ejections), 2)
+		asserter.AtMost(t, "ejections proposed", len(w.Document.Ejections), 2)
 	})
 	t.Run("backend servers that are down are no capacity", func(t *testing.T) {
 		x := newFixture(t, 2, 6, 3)
@@ -117,6 +119,9 @@
 	return n
 }
 
+// TestEjectionDecision guards against ejecting a healthy backend server because of a
+// fault of this instance, of its links or of the whole service, and against keeping a
+// gray one.
 func TestEjectionDecision(t *testing.T) {
 	t.Run("a fault seen by one of two instances ejects nothing", func(t *testing.T) {
 		x := newFixture(t, 2, 6, 3)
--- a/counter/counter_test.go
+++ b/counter/counter_test.go
@@ -99,6 +99,9 @@
 	})
 }
 
+// TestFold guards against a stored list of tallies that grows with each incarnation
+// that ended, and against counting a folded tally twice when a copy of it arrives
+// late.
 func TestFold(t *testing.T) {
 	x := newStoreSimulation(t)
 	const many = 1000
@@ -118,7 +121,7 @@
 		x.write(now.Add(time.Hour))
 		asserter.Equal(t, "received", x.received(), uint64(many+2))
 	})
-	t.Run("a writer that finds a folded tally in the store drops the tallies in it", func(t *testing.T) {
+	t.Run("a writer that finds a folded tally in the store drops its own tallies of the same incarnations", func(t *testing.T) {
 		y := newStoreSimulation(t)
 		y.stored, y.revision = x.stored, x.revision
 		y.writer.Merge(ended(5, start.Add(5*time.Minute)))
--- a/logger/logger_test.go
+++ b/logger/logger_test.go
@@ -61,6 +61,8 @@
 	}}
 }
 
+// TestBlockedOutput guards against a log output that blocks the caller of the logger.
+// Lines must be dropped instead, and counted.
 func TestBlockedOutput(t *testing.T) {
 	out := blockedOutput{make(chan struct{})}
 	l, err := New(out, "info", "json", "entry-1", RequestLimits{Notable: 1e5, Sampled: 1e5})
@@ -101,7 +103,7 @@
 		asserter.AtMost(t, "other requests logged", count(`"reason":"served"`), 1*10+1*3)
 	})
 	t.Run("logged requests have all their events", func(t *testing.T) {
-		asserter.Equal(t, "placements", count(`"event":6003`), count(`"event":6008`))
+		asserter.Equal(t, "requests sent to a backend server", count(`"event":6003`), count(`"event":6008`))
 	})
 	t.Run("omitted requests are counted", func(t *testing.T) {
 		asserter.AtLeast(t, "counts", count(`"event":6009`), 1)
